--- a/lacewingpitch/backend_list.py
+++ b/lacewingpitch/backend_list.py
@@ -1,4 +1,4 @@
-"""The backend servers that take requests, as far as this process knows."""
+"""The published list of backend servers, followed across outages."""
 
 from collections.abc import Callable, Iterable, Mapping
 import dataclasses
@@ -9,7 +9,7 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import departed_servers
-from lacewingpitch import lapsed_servers
+from lacewingpitch import unlisted_servers
 
 _CONTACT_S = 3.0
 log = structlog.get_logger(__name__)
@@ -22,16 +22,17 @@
     Parameters
     ----------
     name
-        Names this incarnation and no other.
+        Unique name of the incarnation.
     adapters
         Versions of the adapters that it holds, by MODEL/ADAPTER.
     is_leaving
-        Whether it is to get no new requests.
+        Whether it must get no new requests.
     created_revision
-        Grows with each entry of the list that is made.
+        Revision of the store that created its entry; increases with each
+        new entry of the list.
     started_at_ms
-        Unix time of its start; 0 if it does not say.  A server may start
-        again under its name, and then holds nothing of before.
+        Unix time of its start; 0 if unknown.  A server may restart under
+        the same name, and then holds nothing from before.
     """
 
     name: str
@@ -47,20 +48,20 @@
 
     @property
     def start_id(self) -> str:
-        """Return what names this start of it and no other."""
+        """Return the unique id of this start of the server."""
         return f'{self.name}@{self.started_at_ms}'
 
 
 class BackendList:
-    """Follows the published list, across times when it is away.
+    """Holds the published list of servers, also while it cannot be read.
 
     Parameters
     ----------
     is_service
-        Whether the configuration names a service.
+        Returns whether the configuration names a service.
     contact_s
-        How long after an outage of the list this process counts as in
-        touch.
+        Time after an outage of the list from which this process counts as
+        connected again, in seconds.
     """
 
     def __init__(
@@ -78,13 +79,13 @@
             reactivex.subject.Subject()
         )
         self._servers: dict[str, BackendServer] = {}
-        self._lapsed: lapsed_servers.LapsedServers[BackendServer] = (
-            lapsed_servers.LapsedServers(clock, contact_s)
+        self._unlisted: unlisted_servers.UnlistedServers[BackendServer] = (
+            unlisted_servers.UnlistedServers(clock, contact_s)
         )
         self._departed = departed_servers.DepartedServers(clock)
         self._is_new_epoch = False
-        # Revisions of the entries that were listed as an outage began.
-        self._before_outage: dict[str, int] = {}
+        # `created_revision` by name, of entries listed as an outage began.
+        self._revisions_before_outage: dict[str, int] = {}
         self._confirmed_at_s = clock.monotonic_s()
         self._confirmed_before_s = self._confirmed_at_s
         self._by_service: dict[str, tuple[BackendServer, ...]] = {}
@@ -92,116 +93,126 @@
 
     @property
     def age_s(self) -> float:
-        """Return how long ago the list was known to be current."""
+        """Return the time since the list was last known to be current."""
         return self._clock.monotonic_s() - self._confirmed_at_s
 
     @property
     def restarts(self) -> reactivex.Observable[str]:
-        """Return the names of servers that start again under their name.
+        """Return the names of servers that restart under the same name.
 
-        What was known of them before holds no more.
+        State recorded for them before the restart is no longer valid.
         """
         return self._restarts
 
     @property
     def ends(self) -> reactivex.Observable[BackendServer]:
-        """Return the starts of servers that ended without leaving."""
+        """Return servers whose start has ended without leaving first."""
         return self._ends
 
     def note_away(self, asked_at_s: float | None = None) -> None:
-        """Take note that the list cannot be read.
+        """Record that the list could not be read.
 
         Parameters
         ----------
         asked_at_s
-            When the read began that failed; just now if left out.
+            Monotonic time at which the failed read began; the current time
+            if ``None``.
         """
-        if not self._lapsed.is_away:
-            self._before_outage = {
+        if not self._unlisted.is_unreadable:
+            self._revisions_before_outage = {
                 server.name: server.created_revision
                 for server in self._servers.values()
             }
         if asked_at_s is None:
             asked_at_s = self._clock.monotonic_s()
-        self._lapsed.note_away(asked_at_s)
+        self._unlisted.record_read_failure(asked_at_s)
 
     def note_read(self, is_new_epoch: bool = False) -> None:
-        """Take note that the list was read, or that nothing changed.
+        """Record that the list was read, or that nothing has changed.
 
-        What the answer holds is taken over after it.
+        Called before the changes of the read are applied.
 
         Parameters
         ----------
         is_new_epoch
-            Whether the list has come back from a copy since.
+            Whether the store has been restored from a copy since the last
+            read.
         """
         self._is_new_epoch = is_new_epoch
         if is_new_epoch:
-            self._departed.note_new_epoch(
-                {server.start_id for server in self._lapsed.all_kept()}
+            self._departed.bar_departed(
+                {server.start_id for server in self._unlisted.all_kept()}
             )
         self._confirmed_before_s = self._confirmed_at_s
         self._confirmed_at_s = self._clock.monotonic_s()
-        self._lapsed.note_read()
+        self._unlisted.record_read()
 
     def settle(self) -> None:
-        """Take note that all of an answer was taken over."""
+        """Record that all changes of a read have been applied."""
         if self._is_new_epoch:
-            # A copy lacks what was written after it, whatever else it has.
-            self._lapsed.settle_new_epoch()
+            # A copy lacks all entries that were written after it, also if
+            # entries from before the outage are in it.
+            self._unlisted.decide_new_epoch()
             return
-        self._lapsed.settle(
+        self._unlisted.decide(
             any(
-                self._before_outage.get(server.name) == server.created_revision
+                self._revisions_before_outage.get(server.name)
+                == server.created_revision
                 for server in self._servers.values()
             )
         )
 
     def replace_all(self, servers: Iterable[BackendServer]) -> None:
-        """Take over a whole list."""
+        """Apply a whole list."""
         found = {server.name: server for server in servers}
         for name in self._servers.keys() - found.keys():
-            self._lapse(name)
+            self._unlist(name)
         for server in found.values():
             self.put(server)
         self.is_known = True
         self.settle()
 
     def adopt(self, servers: Iterable[BackendServer], age_s: float) -> None:
-        """Take over the list of another process, in place of none.
+        """Apply the list of another process, without one of its own.
 
         Parameters
         ----------
         age_s
-            How long ago that list was known to be current.
+            Time since that list was known to be current, in seconds.
         """
         self.replace_all(servers)
         self.note_away()
         self._confirmed_at_s = self._clock.monotonic_s() - age_s
 
     def all(self) -> tuple[BackendServer, ...]:
-        """Return all servers that are listed."""
+        """Return all listed servers."""
         return tuple(self._servers.values())
 
     def put(self, server: BackendServer) -> None:
-        """Take over one entry."""
+        """Apply one entry.
+
+        An entry of an earlier start of the server is ignored.
+        """
         before = self._known(server.name)
         if before and server.started_at_ms < before.started_at_ms:
-            # What a server wrote before its restart can come late.  Taken
-            # over, it would name adapters that are not there any more.
-            log.info('entry of an earlier start', backend_server=server.name)
+            # An entry that a server wrote before its restart can arrive
+            # late.  It names adapters that the server no longer holds.
+            log.info(
+                'entry of an earlier start ignored',
+                backend_server=server.name,
+            )
             return
         if server.is_leaving:
-            self._departed.note_leaving(server.start_id)
+            self._departed.record_leaving(server.start_id)
         elif self._departed.is_barred(server.start_id):
             server = dataclasses.replace(server, is_leaving=True)
         else:
-            self._departed.note_listed(server.start_id)
-        self._lapsed.discard(server.name)
+            self._departed.record_listed(server.start_id)
+        self._unlisted.discard(server.name)
         self._servers[server.name] = server
         if before and server.started_at_ms > before.started_at_ms:
             self._ends.on_next(before)
-            self._tell_restart(server)
+            self._announce_restart(server)
         if before is None or before.is_leaving != server.is_leaving:
             log.info(
                 'backend server listed',
@@ -213,23 +224,24 @@
         self._by_service.clear()
 
     def remove(self, name: str) -> None:
-        """Take note that an entry is listed no more."""
+        """Record that an entry is no longer listed."""
         if name in self._servers:
-            self._lapse(name)
+            self._unlist(name)
 
     def reject(self, name: str) -> None:
-        """Take note that an entry cannot be read: it names no server."""
+        """Drop an entry that cannot be decoded."""
         if name in self._servers:
             del self._servers[name]
             self._by_service.clear()
 
     def note_start(self, name: str, started_at_ms: int) -> bool:
-        """Take note of a server's start, as its own instance tells it.
+        """Record the start of a server that its own instance reports.
 
         Returns
         -------
         bool
-            Whether what comes with it is not of an earlier start.
+            Whether the report is current; `False` if it is of an earlier
+            start.
         """
         server = self._servers.get(name)
         if server is None or not started_at_ms:
@@ -243,15 +255,15 @@
         )
         self._by_service.clear()
         self._ends.on_next(server)
-        self._tell_restart(self._servers[name])
+        self._announce_restart(self._servers[name])
         return True
 
     def get(self, name: str) -> BackendServer | None:
-        """Return a server that is listed."""
+        """Return a listed server."""
         return self._servers.get(name)
 
     def find(self, service: str, name: str) -> BackendServer | None:
-        """Return a server that may get new requests of a service."""
+        """Return a server if it may get new requests of a service."""
         for server in self.serving(service):
             if server.name == name:
                 return server
@@ -260,10 +272,10 @@
     def serving(self, service: str) -> tuple[BackendServer, ...]:
         """Return the servers of a service that may get new requests.
 
-        The same object as before if nothing has changed.
+        Returns the same object while nothing changes.
         """
-        if self._lapsed:
-            return self._with_lapsed(service)
+        if self._unlisted:
+            return self._with_unlisted(service)
         found = self._by_service.get(service)
         if found is None:
             found = self._listed(service)
@@ -271,12 +283,12 @@
         return found
 
     def _listed(self, service: str) -> tuple[BackendServer, ...]:
-        # The entry of a server that restarted stands beside that of its
-        # last incarnation until the latter lapses.
+        # The entry of a restarted server is listed beside that of its last
+        # incarnation until the latter expires.
         newest: dict[tuple[str, int], BackendServer] = {}
         for server in self._servers.values():
-            # An entry of another writer may name the address of a server
-            # that is well, which must not lose its requests by that.
+            # An entry of another writer may contain the address of a
+            # healthy server, which must still get its requests.
             if not self._is_service(server.service):
                 continue
             address = (server.ip, server.port)
@@ -291,15 +303,17 @@
             if server.service == service and not server.is_leaving
         )
 
-    def _with_lapsed(self, service: str) -> tuple[BackendServer, ...]:
+    def _with_unlisted(self, service: str) -> tuple[BackendServer, ...]:
         listed = self._listed(service)
-        found = listed + _elsewhere(self._lapsed.kept(service), listed)
-        return found or self._lapsed.last_resort(service)
+        found = listed + _at_other_addresses(
+            self._unlisted.kept(service), listed
+        )
+        return found or self._unlisted.last_resort(service)
 
     def _known(self, name: str) -> BackendServer | None:
-        return self._servers.get(name) or self._lapsed.get(name)
+        return self._servers.get(name) or self._unlisted.get(name)
 
-    def _tell_restart(self, server: BackendServer) -> None:
+    def _announce_restart(self, server: BackendServer) -> None:
         log.info(
             'backend server restarted',
             backend_server=server.name,
@@ -307,7 +321,7 @@
         )
         self._restarts.on_next(server.name)
 
-    def _lapse(self, name: str) -> None:
+    def _unlist(self, name: str) -> None:
         server = self._servers.pop(name)
         self._by_service.clear()
         log.info(
@@ -317,15 +331,15 @@
             was_leaving=server.is_leaving,
         )
         if not server.is_leaving:
-            self._lapsed.add(server, self._confirmed_before_s)
-        self._departed.note_removed(server.start_id)
-        if not self._is_new_epoch and not self._lapsed.is_after_outage:
+            self._unlisted.add(server, self._confirmed_before_s)
+        self._departed.record_removed(server.start_id)
+        if not self._is_new_epoch and not self._unlisted.is_after_outage:
             self._ends.on_next(server)
 
 
-def _elsewhere(
+def _at_other_addresses(
     servers: Iterable[BackendServer], listed: Iterable[BackendServer]
 ) -> tuple[BackendServer, ...]:
-    """Return the servers whose address no listed one has."""
+    """Return the servers whose address no listed server has."""
     addresses = {(server.ip, server.port) for server in listed}
     return tuple(s for s in servers if (s.ip, s.port) not in addresses)
--- a/lacewingpitch/crash_record.py
+++ b/lacewingpitch/crash_record.py
@@ -1,4 +1,4 @@
-"""Requests under which backend servers crashed, as all processes know them."""
+"""Record of backend-server crashes by request, merged across processes."""
 
 from collections.abc import Callable, Collection, Iterable
 import dataclasses
@@ -10,42 +10,43 @@
 
 from lacewingpitch import clock as clock_module
 
-# A request that comes again after a longer time may crash servers again.
-_KEPT_S = 1800.0
-# Until all processes know that the request was answered.
-_ANSWERED_KEPT_S = 60.0
+# A request that is repeated after a longer time may crash servers again.
+_RETENTION_S = 1800.0
+# Time for all processes to learn that the request was answered.
+_ANSWERED_RETENTION_S = 60.0
 _MAX_REQUESTS = 1024
-# Crashes of one request that are told; those of before an answer are kept
-# for processes that still count them.
+# Crashes of one request that are kept and sent to other processes.  Crashes
+# from before an answer stay for the processes that still count them.
 _MAX_CRASHES = 8
-_MAX_STATES_TOLD = 32
+_MAX_STATES_PER_MESSAGE = 32
 _EPOCH_BITS = 31
 _COUNT_BITS = 32
 log = structlog.get_logger(__name__)
 
 
 class Handling(enum.Enum):
-    """What may be done with a request."""
+    """How a request is scheduled, given its crashes."""
 
     FREE = 'free'
-    # Sent to one server only, alone among such requests.
+    # Sent to one server only, and to it one such request at a time.
     ISOLATED = 'isolated'
     REFUSED = 'refused'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Thresholds:
-    """Crashes from which a request is handled otherwise.
+    """Numbers of crashes from which a request is isolated or refused.
 
-    One crash may have any cause, and cuts all that runs there; the last
-    one comes while the request runs alone among the suspects.
+    A single crash can have any cause, and interrupts every request that
+    runs on the server.  An isolated request is the only suspect on its
+    server, so that a crash there is evidence against it.
     """
 
     isolated_from: int = 2
     refused_from: int = 3
 
     def handling(self, crash_count: int) -> Handling:
-        """Return what may be done with a request."""
+        """Return how a request with this many crashes is scheduled."""
         if crash_count >= self.refused_from:
             return Handling.REFUSED
         if crash_count >= self.isolated_from:
@@ -54,14 +55,15 @@
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """One crash of a backend server while a request began to run there.
+    """One crash of a backend server as a request began to run on it.
 
     Parameters
     ----------
     server
-        Names this start of the backend server.
+        Start id of the backend server; see `backend_list.BackendServer`.
     is_void
-        Whether the request was answered since.
+        Whether a backend server has answered the request since, so that
+        the crash no longer counts against it.
     """
 
     server: str
@@ -69,12 +71,12 @@
 
 
 class SuspectState(msgspec.Struct, frozen=True, array_like=True):
-    """All that one process knows of one request.
+    """All crashes that one process has recorded for one request.
 
     Parameters
     ----------
     fingerprint
-        Of the request; see `request_fingerprint`.
+        Fingerprint of the request; see `request_fingerprint`.
     """
 
     fingerprint: str
@@ -86,7 +88,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    """Crashes under one request, by start; `True` where void."""
+    """Crashes of one request by start id; the value is `True` if void."""
 
     crashes: dict[str, bool] = dataclasses.field(default_factory=dict)
     changed_at: int = 0
@@ -94,29 +96,32 @@
 
     @property
     def count(self) -> int:
-        """Return the crashes that count."""
+        """Return the number of crashes that are not void."""
         return sum(not is_void for is_void in self.crashes.values())
 
 
 class CrashRecord:
-    """Counts crashes of backend servers by the request that ran there.
+    """Counts crashes of backend servers by the request that ran on them.
 
-    Failure it answers: a request crashes each server that begins to run
-    it, and comes again at any entry, under another id each time.
+    Guards against a request that crashes every server that begins to run
+    it, and that its caller sends again to any entry under a new id.
 
-    A crash cuts all that runs, and one request is to blame.  Those that
-    bring answers elsewhere are innocent, and their crashes are void.  What
-    was there at two crashes runs isolated, and at the third it is refused.
+    A crash interrupts all requests on the server, and one of them causes
+    it.  A request that another server answers is innocent, and its crashes
+    become void.  By default, a request that was running at two crashes is
+    isolated, and at three crashes it is refused.
 
-    Crashes only ever are added or become void, so that processes merge
-    what they know in any order, any number of times.
+    Crashes are only added or marked void, so that merging is commutative
+    and idempotent: processes may exchange records in any order, any number
+    of times.
 
     Parameters
     ----------
     source
-        Tells this start of the process from others.
+        Draws the number that identifies this start of the process.
     released
-        Returns fingerprints that an operator lets through.
+        Returns fingerprints that the operator exempts from isolation and
+        refusal.
     """
 
     def __init__(
@@ -131,33 +136,33 @@
         self._released = released
         self._epoch = source.getrandbits(_EPOCH_BITS) + 1
         self._change_count = 0
-        # The one used longest ago comes first.
+        # In the order of use; the least recently used comes first.
         self._suspects: dict[str, _Suspect] = {}
 
     @property
     def revision(self) -> int:
         """Return a number that changes with the record; 0 if it is empty.
 
-        It rises while the process lives, and those of two starts of a
-        process differ.
+        It increases for as long as the process runs.  Revisions of two
+        starts of a process differ.
         """
         if not self._change_count:
             return 0
         return (self._epoch << _COUNT_BITS) + self._change_count
 
     def handling(self, fingerprint: str) -> Handling:
-        """Return what may be done with a request."""
+        """Return how a request is scheduled."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or self._is_old(suspect):
+        if suspect is None or self._is_expired(suspect):
             return Handling.FREE
         handling = self._thresholds.handling(suspect.count)
         if handling is Handling.FREE or fingerprint in self._released():
             return Handling.FREE
-        self._use(fingerprint, suspect)
+        self._touch(fingerprint, suspect)
         return handling
 
     def servers(self, fingerprint: str) -> tuple[str, ...]:
-        """Return the starts that crashed under a request, and count."""
+        """Return start ids of servers whose crash counts for a request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return ()
@@ -168,19 +173,19 @@
         )
 
     def count_of(self, handling: Handling) -> int:
-        """Return how many requests are handled so."""
+        """Return how many requests have a handling."""
         return sum(
             self._thresholds.handling(suspect.count) is handling
             for suspect in self._suspects.values()
         )
 
     def note_crash(self, fingerprint: str, server: str) -> None:
-        """Take note of a crash while a request began to run.
+        """Record a crash that occurred as a request began to run.
 
         Parameters
         ----------
         server
-            Names the start of the backend server that crashed.
+            Start id of the backend server that crashed.
         """
         if self._add(fingerprint, (Crash(server, False),)):
             log.warning(
@@ -191,7 +196,7 @@
             )
 
     def note_answered(self, fingerprint: str) -> None:
-        """Take note that a backend server answered a request."""
+        """Mark a request's crashes as void: a backend server answered it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.count:
             return
@@ -206,7 +211,7 @@
         )
 
     def merge(self, states: Iterable[SuspectState]) -> None:
-        """Take over what another process knows."""
+        """Merge crashes that another process has recorded."""
         for state in states:
             before = self.handling(state.fingerprint)
             if not self._add(state.fingerprint, state.crashes):
@@ -214,7 +219,7 @@
             after = self.handling(state.fingerprint)
             if after is not before:
                 log.info(
-                    'suspect learned',
+                    'suspect handling changed',
                     fingerprint=state.fingerprint,
                     handling=after.value,
                     backend_servers=self.servers(state.fingerprint),
@@ -223,9 +228,11 @@
     def changes_since(
         self, revision: int
     ) -> tuple[tuple[SuspectState, ...], int]:
-        """Return what is new since a revision, and the one after it.
+        """Return what changed since a revision, and the revision reached.
 
-        The latter is not the newest where not all fits in a message.
+        Returns everything if the revision is of another start of the
+        process.  The revision reached is below the current one if the
+        changes do not fit into one message.
         """
         since = 0
         if revision >> _COUNT_BITS == self._epoch:
@@ -235,10 +242,10 @@
             for fingerprint, suspect in self._suspects.items()
             if suspect.changed_at > since
         )
-        if len(changed) <= _MAX_STATES_TOLD:
+        if len(changed) <= _MAX_STATES_PER_MESSAGE:
             return self._states(changed), self.revision
-        told = changed[:_MAX_STATES_TOLD]
-        return self._states(told), (self._epoch << _COUNT_BITS) + told[-1][0]
+        sent = changed[:_MAX_STATES_PER_MESSAGE]
+        return self._states(sent), (self._epoch << _COUNT_BITS) + sent[-1][0]
 
     def _states(
         self, changed: Iterable[tuple[int, str]]
@@ -257,9 +264,9 @@
         )
 
     def _add(self, fingerprint: str, crashes: Iterable[Crash]) -> bool:
-        """Add crashes; return whether anything is new."""
+        """Add crashes, or mark them void; return whether any changed."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or self._is_old(suspect):
+        if suspect is None or self._is_expired(suspect):
             suspect = _Suspect()
         has_changed = False
         for crash in crashes:
@@ -273,27 +280,31 @@
         if has_changed:
             self._change_count += 1
             suspect.changed_at = self._change_count
-            self._use(fingerprint, suspect)
-            self._forget()
+            self._touch(fingerprint, suspect)
+            self._evict()
         return has_changed
 
-    def _use(self, fingerprint: str, suspect: _Suspect) -> None:
+    def _touch(self, fingerprint: str, suspect: _Suspect) -> None:
         suspect.used_at_s = self._clock.boot_s()
         self._suspects.pop(fingerprint, None)
         self._suspects[fingerprint] = suspect
 
-    def _forget(self) -> None:
+    def _evict(self) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
             is_full = len(self._suspects) > _MAX_REQUESTS
-            if is_full or self._is_old(suspect):
+            if is_full or self._is_expired(suspect):
                 del self._suspects[fingerprint]
 
-    def _is_old(self, suspect: _Suspect) -> bool:
-        kept_s = _KEPT_S if suspect.count else _ANSWERED_KEPT_S
-        return self._clock.boot_s() - suspect.used_at_s > kept_s
+    def _is_expired(self, suspect: _Suspect) -> bool:
+        retention_s = _RETENTION_S if suspect.count else _ANSWERED_RETENTION_S
+        return self._clock.boot_s() - suspect.used_at_s > retention_s
 
     def _make_room(self, suspect: _Suspect, crash: Crash) -> bool:
-        """Return whether a crash that is new has a place."""
+        """Make room for a new crash; return whether it may be stored.
+
+        A crash that counts is not stored for a request that is refused
+        already.  At the limit, the oldest void crash is evicted.
+        """
         if not crash.is_void:
             handling = self._thresholds.handling(suspect.count)
             if handling is Handling.REFUSED:
@@ -308,5 +319,5 @@
 
 
 def is_same_start(revision: int, other: int) -> bool:
-    """Whether two revisions are of one start of a process."""
+    """Whether two revisions are of the same start of a process."""
     return revision >> _COUNT_BITS == other >> _COUNT_BITS
--- a/lacewingpitch/crash_watch.py
+++ b/lacewingpitch/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out which requests had just begun as a backend server crashed."""
+"""Detection of backend-server crashes from broken connections."""
 
 import collections
 import dataclasses
@@ -7,31 +7,31 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import crash_record
 
-# A server that crashed is missed by another request, by its sidecar or in
-# the list within this time.
-_CONFIRMED_WITHIN_S = 5.0
-_MAX_CUT = 1024
+# Within this time of a crash, another request, the server's sidecar or the
+# published list shows that the server has ended.
+_CONFIRMATION_TIMEOUT_S = 5.0
+_MAX_SERVERS = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Cut:
-    """One request that was cut before, or soon after, its first event."""
+class _Disconnect:
+    """One connection that ended before, or soon after, its first event."""
 
     fingerprint: str
     at_s: float
 
 
 class CrashWatch:
-    """Tells crashes of backend servers from answers that were lost.
+    """Tells crashes of backend servers from answers lost on the way.
 
-    A cut connection shows either.  It counts as a crash once the server is
-    known to have ended: its sidecar says so, it takes no connections, or
-    the list has it no more.
+    Either of them breaks the connection.  A broken connection counts as a
+    crash once the end of the server is confirmed: its sidecar reports it,
+    the server accepts no connections, or the list no longer contains it.
 
     Parameters
     ----------
     record
-        Takes note of crashes that are confirmed.
+        Receives the crashes that are confirmed.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
     ) -> None:
         self._record = record
         self._clock = clock
-        self._cuts: collections.defaultdict[str, list[_Cut]] = (
+        self._disconnects: collections.defaultdict[str, list[_Disconnect]] = (
             collections.defaultdict(list)
         )
         self._ended_at_s: dict[str, float] = {}
@@ -49,38 +49,45 @@
     def note_cut(
         self, fingerprint: str, server: backend_list.BackendServer
     ) -> None:
-        """Take note that a request was cut as it began to run."""
-        self._forget()
+        """Record that a connection ended as its request began to run.
+
+        It counts as a crash at once if the server has ended recently.
+        Beyond `_MAX_SERVERS` servers it is ignored.
+        """
+        self._expire()
         if server.start_id in self._ended_at_s:
             self._record.note_crash(fingerprint, server.start_id)
             return
-        if len(self._cuts) < _MAX_CUT:
-            cut = _Cut(fingerprint, self._clock.boot_s())
-            self._cuts[server.start_id].append(cut)
+        if len(self._disconnects) < _MAX_SERVERS:
+            disconnect = _Disconnect(fingerprint, self._clock.boot_s())
+            self._disconnects[server.start_id].append(disconnect)
 
     def is_awaited(self, server: backend_list.BackendServer) -> bool:
-        """Whether it matters if a server has ended."""
-        return server.start_id in self._cuts
+        """Whether disconnects of a server wait for confirmation."""
+        return server.start_id in self._disconnects
 
     def note_ended(self, server: backend_list.BackendServer) -> None:
-        """Take note that this start of a server has ended."""
-        self._forget()
+        """Record that this start of a server has ended.
+
+        Disconnects that wait for confirmation become crashes.
+        """
+        self._expire()
         self._ended_at_s.setdefault(server.start_id, self._clock.boot_s())
-        for cut in self._cuts.pop(server.start_id, ()):
-            self._record.note_crash(cut.fingerprint, server.start_id)
+        for disconnect in self._disconnects.pop(server.start_id, ()):
+            self._record.note_crash(disconnect.fingerprint, server.start_id)
 
     def note_running(self, server: backend_list.BackendServer) -> None:
-        """Take note that a server works: only answers were lost."""
-        self._cuts.pop(server.start_id, None)
-
-    def _forget(self) -> None:
-        since_s = self._clock.boot_s() - _CONFIRMED_WITHIN_S
-        for start_id, cuts in list(self._cuts.items()):
-            left = [cut for cut in cuts if cut.at_s > since_s]
-            if left:
-                self._cuts[start_id] = left
+        """Record that a server is running, so that it has not crashed."""
+        self._disconnects.pop(server.start_id, None)
+
+    def _expire(self) -> None:
+        since_s = self._clock.boot_s() - _CONFIRMATION_TIMEOUT_S
+        for start_id, disconnects in list(self._disconnects.items()):
+            recent = [d for d in disconnects if d.at_s > since_s]
+            if recent:
+                self._disconnects[start_id] = recent
             else:
-                del self._cuts[start_id]
+                del self._disconnects[start_id]
         for start_id, at_s in list(self._ended_at_s.items()):
             if at_s <= since_s:
                 del self._ended_at_s[start_id]
--- a/lacewingpitch/isolation.py
+++ b/lacewingpitch/isolation.py
@@ -1,4 +1,4 @@
-"""Which suspect requests one engine takes."""
+"""Isolation of requests that are suspected of crashing engines."""
 
 from collections.abc import Iterable
 
@@ -9,27 +9,27 @@
 from lacewingpitch import rendezvous
 from lacewingpitch import turn_lease
 
-# A request that crashes an engine does so as it begins to run.  One that
-# has had its turn for longer is no suspect to those that come after it.
+# A request that crashes an engine does so as it begins to run.  One that has
+# held its turn for longer does not keep the next suspect waiting.
 _PROBATION_S = 1.5
-# Another one has its turn, and is done within its probation.
+# The suspect that is running ends its probation within _PROBATION_S.
 _RETRY_AFTER_S = 1.0
-# Its entry has learned by then what is known of the request.
+# By then the entry has merged the crashes that the sidecar has sent it.
 _UNKNOWN_RETRY_S = 0.2
 _KEY = 'isolation'
 
 
 class Isolation:
-    """Refuses requests that crash engines, and lets suspects run one by one.
+    """Refuses requests that crash engines, and runs suspects one at a time.
 
-    Load it answers: several suspects after a crash, one of which is to
-    blame.  Run together, all would be cut by the next crash, and none of
-    the others could be told from it.
+    A crash leaves several suspects, one of which has caused it.  If they
+    ran together, the next crash would interrupt all of them, and the
+    innocent ones could not be told from the cause.
 
     Parameters
     ----------
     record
-        What is known of suspect requests.
+        Crashes by request.
     """
 
     def __init__(self, record: crash_record.CrashRecord) -> None:
@@ -41,12 +41,12 @@
         turns: Iterable[turn_lease.TurnLease],
         now_s: float,
     ) -> errors.RefusalError | None:
-        """Return why a request gets no turn now; ``None`` if it may.
+        """Return why a request gets no turn now; ``None`` if it may have one.
 
         Parameters
         ----------
         turns
-            All that are granted or waited for.
+            All turns of the engine, both granted and queued.
         """
         handling = self._record.handling(request.fingerprint)
         if handling is crash_record.Handling.REFUSED:
@@ -58,7 +58,7 @@
         if any(_is_on_probation(turn, now_s) for turn in turns):
             return errors.RefusalError(
                 errors.ErrorKind.QUEUE_FULL,
-                'another suspect request runs',
+                'another suspect request is running',
                 retry_after_s=_RETRY_AFTER_S,
             )
         return None
@@ -67,9 +67,10 @@
 def choose(
     servers: Iterable[backend_list.BackendServer],
 ) -> backend_list.BackendServer | None:
-    """Return the one server to which suspect requests go.
+    """Return the server that suspect requests go to; ``None`` without any.
 
-    All entries with the same list find the same one.
+    Rendezvous hashing lets all entries with the same list choose the same
+    server.
     """
     return max(
         servers,
@@ -81,10 +82,10 @@
 
 
 def to_isolate() -> errors.RefusalError:
-    """Return the answer to a suspect that was not known to be one."""
+    """Return the refusal of a suspect that its entry has not isolated."""
     return errors.RefusalError(
         errors.ErrorKind.QUEUE_FULL,
-        'the request is to run isolated',
+        'the request must run isolated',
         retry_after_s=_UNKNOWN_RETRY_S,
     )
 
@@ -92,7 +93,7 @@
 def refused(
     record: crash_record.CrashRecord, fingerprint: str
 ) -> errors.RefusalError:
-    """Return the final answer to a request that crashes backend servers."""
+    """Return the final refusal of a request that crashes backend servers."""
     count = len(record.servers(fingerprint))
     return errors.RefusalError(
         errors.ErrorKind.CRASHES_BACKEND_SERVERS,
--- a/lacewingpitch/suspect_exchange.py
+++ b/lacewingpitch/suspect_exchange.py
@@ -1,8 +1,8 @@
-"""How entries and sidecars come to know the same suspect requests.
+"""Exchange of crash records between entries and sidecars.
 
-What a process knows rides on the messages about turns, which go anyway:
-an entry learns from each sidecar that it asks, and tells it what others
-said.  While nobody knows of a crash, the messages hold nothing of it.
+Changes are piggybacked on the requests for turns and their replies.  An
+entry merges the changes of each sidecar that it asks for a turn, and passes
+on those of others.  Without any crash the messages carry no extra data.
 """
 
 import msgspec
@@ -13,15 +13,16 @@
 
 
 class SuspectNews(msgspec.Struct, frozen=True, array_like=True):
-    """What its sender knows that the receiver may not.
+    """Changes of the sender's crash record that the receiver may lack.
 
     Parameters
     ----------
     revision
-        Of the sender's record, up to which the receiver knows it then.
+        Revision of the sender's record that the receiver has once it has
+        merged `states`.
     known_revision
-        Of the receiver's record, up to which the sender of a question
-        knows it.
+        In a request: revision of the receiver's record that the sender
+        has.
     """
 
     revision: int = 0
@@ -30,62 +31,68 @@
 
 
 class SuspectExchange:
-    """The entry's side: it asks.
+    """The entry's side of the exchange, which sends the requests.
 
     Parameters
     ----------
     record
-        What this process knows.
+        Crash record of this process.
     """
 
     def __init__(self, record: crash_record.CrashRecord) -> None:
         self._record = record
-        # Revisions, by the address of a sidecar: of its record that is
-        # known here, and of this one that it knows.
-        self._known: dict[str, int] = {}
-        self._told: dict[str, int] = {}
+        # By IP address of a sidecar: the revision of its record that has
+        # been merged here, and the revision of this record that it has.
+        self._merged: dict[str, int] = {}
+        self._sent: dict[str, int] = {}
 
     def news_for(self, ip: str) -> SuspectNews | None:
-        """Return what goes with a question to a sidecar."""
-        known = self._known.get(ip, 0)
-        told = self._told.get(ip, 0)
-        if told == self._record.revision:
-            return SuspectNews(told, known) if known else None
-        states, revision = self._record.changes_since(told)
-        return SuspectNews(revision, known, states)
+        """Return the changes to send with a request to a sidecar."""
+        merged = self._merged.get(ip, 0)
+        sent = self._sent.get(ip, 0)
+        if sent == self._record.revision:
+            return SuspectNews(sent, merged) if merged else None
+        states, revision = self._record.changes_since(sent)
+        return SuspectNews(revision, merged, states)
 
     def take(
         self, ip: str, sent: SuspectNews | None, reply: SuspectNews | None
     ) -> None:
-        """Take over what came with the answer to it."""
-        if len(self._told) > _MAX_PEERS:
-            self._told.clear()
-            self._known.clear()
+        """Merge what came with a sidecar's reply.
+
+        Parameters
+        ----------
+        sent
+            What went with the request.
+        """
+        if len(self._sent) > _MAX_PEERS:
+            self._sent.clear()
+            self._merged.clear()
         if sent is not None:
-            self._told[ip] = sent.revision
+            self._sent[ip] = sent.revision
         if reply is None:
             return
-        known = self._known.get(ip, 0)
-        if known and not crash_record.is_same_start(reply.revision, known):
-            # It has started again, and knows nothing of before.
-            self._told.pop(ip, None)
-        self._known[ip] = reply.revision
+        merged = self._merged.get(ip, 0)
+        if merged and not crash_record.is_same_start(reply.revision, merged):
+            # The sidecar has restarted with an empty record.
+            self._sent.pop(ip, None)
+        self._merged[ip] = reply.revision
         self._record.merge(reply.states)
 
 
 def news_for_asker(
-    record: crash_record.CrashRecord, asked: SuspectNews | None
+    record: crash_record.CrashRecord, received: SuspectNews | None
 ) -> SuspectNews | None:
-    """Return what goes with an answer.
+    """Return the changes to send with a reply; ``None`` without any.
 
     Parameters
     ----------
     record
-        What this process knows.
-    asked
-        What came with the question.
+        Crash record of this process.
+    received
+        What came with the request.
     """
-    known_revision = asked.known_revision if asked else 0
+    known_revision = received.known_revision if received else 0
     if known_revision == record.revision:
         return None
     states, revision = record.changes_since(known_revision)
--- a/lacewingpitch/suspects.py
+++ b/lacewingpitch/suspects.py
@@ -1,4 +1,4 @@
-"""What an entry knows of requests that crash backend servers."""
+"""An entry's components for tracking requests that crash backend servers."""
 
 from collections.abc import Callable, Collection
 import random
@@ -10,12 +10,15 @@
 
 
 class Suspects:
-    """The record of an entry, what feeds it, and how it is shared.
+    """Crash record of an entry, its crash detector and its exchange.
 
     Parameters
     ----------
+    source
+        Draws the number that identifies this start of the process.
     released
-        Returns fingerprints that an operator lets through.
+        Returns fingerprints that the operator exempts from isolation and
+        refusal.
     """
 
     def __init__(
--- /dev/null
+++ b/lacewingpitch/unlisted_servers.py
@@ -0,0 +1,246 @@
+"""Use of backend servers whose entries are gone after a store outage."""
+
+import dataclasses
+import math
+from typing import Generic, Protocol, TypeVar
+
+import structlog
+
+from lacewingpitch import clock as clock_module
+
+# A server whose entry expired in an outage writes it again within 2 s of the
+# store's return; 0.5 s more is for the change to reach this process.
+_RELISTED_WITHIN_S = 2.5
+# Without any other backend server, one that has just left the list may still
+# be tried: it may serve for up to 2 s more, and a request that it refuses
+# has not run.
+_LAST_RESORT_S = 1.5
+# Time between the last use of a server and the moment from which this
+# process must act on what it could have read.
+_CONTACT_MARGIN_S = 0.3
+# A broken connection fails a single read; an outage also fails the next one.
+_MIN_OUTAGE_FAILURES = 2
+log = structlog.get_logger(__name__)
+
+
+class Server(Protocol):
+    """A backend server with a name and a service."""
+
+    @property
+    def name(self) -> str:
+        """Return the name of the server."""
+        ...
+
+    @property
+    def service(self) -> str:
+        """Return the name of its service."""
+        ...
+
+
+_Server = TypeVar('_Server', bound=Server)
+
+
+@dataclasses.dataclass(slots=True)
+class _Record(Generic[_Server]):
+    """One server that is no longer listed.
+
+    Parameters
+    ----------
+    kept_until_s
+        Monotonic time until which it is used beside listed servers.
+    last_resort_until_s
+        Monotonic time until which it is used if no server is listed.
+    """
+
+    server: _Server
+    unlisted_at_s: float
+    kept_until_s: float
+    last_resort_until_s: float
+
+
+class UnlistedServers(Generic[_Server]):
+    """Decides how long a server that is no longer listed may be used.
+
+    The list may be unreadable for seconds.  If the store was down, the
+    entries of healthy servers have expired, and without them requests would
+    find no server.  If only this process could not read it, a server whose
+    entry is gone has left, and must get no requests once this process
+    counts as connected again.  The first list after the outage tells the
+    two apart: entries from before survive only the second case.
+
+    Servers that announced that they leave are not added here, and a later
+    outage does not bring back a server whose time is over.
+
+    Parameters
+    ----------
+    contact_s
+        Time after an outage from which this process counts as connected
+        again, in seconds.
+    """
+
+    def __init__(self, clock: clock_module.Clock, contact_s: float) -> None:
+        self._clock = clock
+        self._contact_s = contact_s
+        self._records: dict[str, _Record[_Server]] = {}
+        self._undecided: set[str] = set()
+        self._failure_count = 0
+        self._unreadable_since_s = 0.0
+        self._failure_began_at_s = -math.inf
+        self.is_unreadable = False
+
+    def __bool__(self) -> bool:
+        """Whether any server is recorded."""
+        return bool(self._records)
+
+    @property
+    def is_after_outage(self) -> bool:
+        """Whether the last successful read was the first after a failure."""
+        return self._failure_count > 0
+
+    def record_read_failure(self, began_at_s: float) -> None:
+        """Record a failed read.
+
+        Parameters
+        ----------
+        began_at_s
+            Monotonic time at which the read began; the list became readable
+            later than that.
+        """
+        if not self.is_unreadable:
+            self._unreadable_since_s = self._clock.monotonic_s()
+            self._failure_count = 0
+        self.is_unreadable = True
+        self._failure_count += 1
+        self._failure_began_at_s = began_at_s
+
+    def record_read(self) -> None:
+        """Record that the list was read, or that nothing has changed.
+
+        Servers that are in use get the length of the outage in addition:
+        none of them could be listed again during it.
+        """
+        if not self.is_unreadable:
+            self._failure_count = 0
+            return
+        self.is_unreadable = False
+        unreadable_s = max(
+            0.0, self._failure_began_at_s - self._unreadable_since_s
+        )
+        for record in self._records.values():
+            record.kept_until_s += unreadable_s
+
+    def add(self, server: _Server, listed_at_s: float) -> None:
+        """Add a server that is no longer listed.
+
+        Parameters
+        ----------
+        listed_at_s
+            Monotonic time at which it was last known to be listed.
+        """
+        self._records[server.name] = _Record(
+            server=server,
+            unlisted_at_s=self._clock.monotonic_s(),
+            kept_until_s=-math.inf,
+            last_resort_until_s=listed_at_s + _LAST_RESORT_S,
+        )
+        self._undecided.add(server.name)
+
+    def discard(self, name: str) -> None:
+        """Remove a server that is listed again."""
+        self._records.pop(name, None)
+        self._undecided.discard(name)
+
+    def decide(self, has_survivors: bool) -> None:
+        """Set how long to use the servers that were added since a read.
+
+        Parameters
+        ----------
+        has_survivors
+            Whether entries from before the last outage are still listed.
+        """
+        if not self._undecided:
+            return
+        self._decide(self._kept_until_s(has_survivors), has_survivors)
+
+    def decide_new_epoch(self) -> None:
+        """Set how long to use servers that a restored list lacks.
+
+        The store has been restored from a copy.  All servers write their
+        entries again, also those whose entries had expired in an earlier
+        outage.
+        """
+        self._undecided.update(server.name for server in self.all_kept())
+        if self._undecided:
+            self._decide(self._relisted_by_s, has_survivors=False)
+
+    def _decide(self, kept_until_s: float, has_survivors: bool) -> None:
+        for name in self._undecided:
+            self._records[name].kept_until_s = kept_until_s
+        log.info(
+            'retention of unlisted backend servers decided',
+            backend_servers=sorted(self._undecided),
+            failed_reads=self._failure_count,
+            entries_survived=has_survivors,
+            kept_s=round(max(0.0, kept_until_s - self._now_s()), 3),
+        )
+        self._undecided.clear()
+
+    def get(self, name: str) -> _Server | None:
+        """Return a server if it is still recorded."""
+        record = self._records.get(name)
+        return record.server if record else None
+
+    def all_kept(self) -> tuple[_Server, ...]:
+        """Return all servers to use beside the listed ones."""
+        now_s = self._now_s()
+        return tuple(
+            record.server
+            for record in self._records.values()
+            if now_s < record.kept_until_s
+        )
+
+    def kept(self, service: str) -> tuple[_Server, ...]:
+        """Return the servers of a service to use beside the listed ones."""
+        self._expire()
+        return tuple(s for s in self.all_kept() if s.service == service)
+
+    def last_resort(self, service: str) -> tuple[_Server, ...]:
+        """Return the servers of a service to use if none is listed."""
+        now_s = self._clock.monotonic_s()
+        return tuple(
+            record.server
+            for record in self._records.values()
+            if record.server.service == service
+            and now_s < record.last_resort_until_s
+        )
+
+    def _kept_until_s(self, has_survivors: bool) -> float:
+        if not self.is_after_outage:
+            return -math.inf
+        if not has_survivors:
+            return self._relisted_by_s
+        if self._failure_count < _MIN_OUTAGE_FAILURES:
+            return -math.inf
+        return self._failure_began_at_s + self._contact_s - _CONTACT_MARGIN_S
+
+    @property
+    def _relisted_by_s(self) -> float:
+        return self._clock.monotonic_s() + _RELISTED_WITHIN_S
+
+    def _now_s(self) -> float:
+        """Return the monotonic time, which stops during an outage."""
+        if self.is_unreadable:
+            return self._unreadable_since_s
+        return self._clock.monotonic_s()
+
+    def _expire(self) -> None:
+        now_s = self._now_s()
+        for name, record in list(self._records.items()):
+            if now_s < max(record.kept_until_s, record.last_resort_until_s):
+                continue
+            del self._records[name]
+            log.info(
+                'unlisted backend server dropped',
+                backend_server=name,
+                unlisted_for_s=round(now_s - record.unlisted_at_s, 3),
+            )
--- /dev/null
+++ b/tests/test_unlisted_servers.py
@@ -0,0 +1,146 @@
+"""How long a server that is no longer listed is used."""
+
+import dataclasses
+
+import pytest
+
+from lacewingpitch import unlisted_servers
+from tests import clocks
+
+CONTACT_S = 4.0
+
+
+@dataclasses.dataclass(frozen=True)
+class Server:
+    name: str
+    service: str = 'lookup'
+
+
+A = Server('a')
+
+
+@pytest.fixture
+def clock():
+    return clocks.ManualClock(100.0)
+
+
+@pytest.fixture
+def unlisted(clock):
+    return unlisted_servers.UnlistedServers(clock, CONTACT_S)
+
+
+def fail_reads(unlisted, clock, length_s=5.0, step_s=1.0):
+    """Let reads fail; return when the last one began."""
+    began_s = clock.now_s
+    while clock.now_s < began_s + length_s:
+        asked_at_s = clock.now_s
+        clock.now_s += step_s
+        unlisted.record_read_failure(asked_at_s)
+    return asked_at_s
+
+
+class TestKept:
+    def test_no_server_is_kept_without_an_outage(self, unlisted):
+        unlisted.record_read()
+        unlisted.add(A, 100.0)
+        unlisted.decide(has_survivors=True)
+        assert unlisted.kept('lookup') == ()
+
+    def test_ends_before_contact_if_entries_survived(self, unlisted, clock):
+        """Guards against requests to a server that left in the outage.
+
+        Only this process could not read the list, and counts as connected
+        again.
+        """
+        asked_at_s = fail_reads(unlisted, clock)
+        unlisted.record_read()
+        unlisted.add(A, 100.0)
+        unlisted.decide(has_survivors=True)
+        assert unlisted.kept('lookup') == (A,)
+        assert unlisted.kept('other') == ()
+        clock.now_s = asked_at_s + CONTACT_S - 0.2
+        assert unlisted.kept('lookup') == ()
+
+    def test_lasts_until_all_are_listed_again_if_none_survived(
+        self, unlisted, clock
+    ):
+        """Guards against refusals while all entries are written again."""
+        fail_reads(unlisted, clock)
+        clock.now_s += 2.0
+        unlisted.record_read()
+        unlisted.add(A, 100.0)
+        unlisted.decide(has_survivors=False)
+        clock.now_s += 2.4
+        assert unlisted.kept('lookup') == (A,)
+        clock.now_s += 0.2
+        assert unlisted.kept('lookup') == ()
+
+    def test_one_failed_read_is_no_outage(self, unlisted, clock):
+        """Guards against keeping a server after one broken connection."""
+        unlisted.record_read_failure(99.9)
+        unlisted.record_read()
+        unlisted.add(A, 98.0)
+        unlisted.decide(has_survivors=True)
+        assert unlisted.kept('lookup') == ()
+
+    def test_no_server_is_kept_if_unlisted_later(self, unlisted, clock):
+        fail_reads(unlisted, clock)
+        unlisted.record_read()
+        unlisted.decide(has_survivors=True)
+        unlisted.record_read()
+        unlisted.add(A, clock.now_s)
+        unlisted.decide(has_survivors=True)
+        assert unlisted.kept('lookup') == ()
+
+    def test_a_server_that_is_listed_again_is_dropped(self, unlisted, clock):
+        fail_reads(unlisted, clock)
+        unlisted.record_read()
+        unlisted.add(A, 100.0)
+        unlisted.discard('a')
+        unlisted.decide(has_survivors=True)
+        assert not unlisted
+        assert unlisted.get('a') is None
+
+
+class TestNextOutage:
+    @pytest.fixture
+    def kept(self, unlisted, clock):
+        fail_reads(unlisted, clock)
+        unlisted.record_read()
+        unlisted.add(A, 100.0)
+        unlisted.decide(has_survivors=False)
+        clock.now_s += 1.0
+        return unlisted
+
+    def test_keeps_the_server_in_use(self, kept, clock):
+        fail_reads(kept, clock, length_s=30.0)
+        assert kept.kept('lookup') == (A,)
+
+    def test_leaves_the_rest_of_the_time(self, kept, clock):
+        """Guards against a time that starts again with each outage."""
+        last_s = fail_reads(kept, clock, length_s=30.0)
+        kept.record_read()
+        kept.decide(has_survivors=True)
+        clock.now_s = last_s + 0.4
+        assert kept.kept('lookup') == (A,)
+        clock.now_s = last_s + 1.6
+        assert kept.kept('lookup') == ()
+
+    def test_does_not_bring_back_a_dropped_server(self, kept, clock):
+        """Guards against requests to a server that left before."""
+        clock.now_s += 2.0
+        fail_reads(kept, clock)
+        assert kept.kept('lookup') == ()
+
+
+class TestLastResort:
+    def test_counts_from_when_the_server_was_listed(self, unlisted, clock):
+        """Guards against requests long after a server has left.
+
+        The list was not read for a while, so that its removal shows late.
+        """
+        unlisted.add(A, 99.0)
+        unlisted.decide(has_survivors=True)
+        assert unlisted.last_resort('lookup') == (A,)
+        clock.now_s += 0.6
+        assert unlisted.last_resort('lookup') == ()
