--- a/lacewingpitch/adapter_homes.py
+++ b/lacewingpitch/adapter_homes.py
@@ -1,4 +1,8 @@
-"""Asks the homes of adapters where these are used."""
+"""Assignments of adapters to engines, as their homes report them.
+
+The home of an adapter is the sidecar that keeps its directory entry; it
+is chosen by rendezvous hash.  See `directory`.
+"""
 
 import collections
 from collections.abc import Callable, Sequence
@@ -11,33 +15,36 @@
 from lacewingpitch import directory
 from lacewingpitch import errors
 from lacewingpitch import live_list
-from lacewingpitch import weighing as weighing_module
+from lacewingpitch import weighing
 
+# Recent requests from which an adapter counts as hot.
 _HOT_COUNT = 8.0
 _FULL_RATIO = 0.9
-_ASSIGNED_S = 10.0
-_TOLD_S = 60.0
-_SILENT_S = 5.0
+# An assignment younger than this is used without asking the home again.
+_FRESH_S = 10.0
+# Until this age, it narrows down the engines that hold the adapter.
+_MAX_AGE_S = 60.0
+_HOME_BACKOFF_S = 5.0
 _MAX_ASSIGNMENTS = 8192
 
 
 @dataclasses.dataclass(slots=True)
 class _Assignment:
-    """Where the home of an adapter has it used."""
+    """The engines that the home of an adapter assigned to it."""
 
     names: tuple[str, ...]
-    known_at_s: float
+    received_at_s: float
 
 
 class AdapterHomes:
-    """What this entry instance knows from the homes of adapters.
+    """Queries the homes of adapters and caches their assignments.
 
     Parameters
     ----------
     link
-        Way to the homes.
+        Sends requests to the homes.
     demand
-        How often this entry was asked for each adapter of late.
+        Recent requests for each adapter at this entry instance.
     fill_ratio
         Returns the load of an engine as a share of its batch.
     """
@@ -58,83 +65,91 @@
         self._assignments: collections.OrderedDict[str, _Assignment] = (
             collections.OrderedDict()
         )
-        self._silent_until_s: dict[str, float] = {}
+        self._backoff_until_s: dict[str, float] = {}
 
     async def assigned(
         self,
         key: str,
-        weighing: weighing_module.Weighing,
+        estimates: weighing.WaitEstimates,
         home: live_list.Instance,
         ranked: Sequence[live_list.Instance],
     ) -> tuple[str, ...]:
-        """Return the engines that an adapter is used at.
+        """Return the names of the engines that an adapter is assigned to.
+
+        The home is asked unless its last assignment is fresh, or enough
+        engines are known to hold the adapter.
 
         Parameters
         ----------
         ranked
-            The engines as this entry would choose, best first.
+            The engines in this entry's order of preference, best first.
         """
-        active_count = weighing.pool.active_count
-        told, told_ago_s = self._told(key, weighing)
-        wanted = self._wanted(key, told)
-        if told_ago_s < _ASSIGNED_S:
-            if len(told) >= wanted:
-                return told
+        active_count = estimates.pool.active_count
+        assigned, age_s = self._last_assignment(key, estimates)
+        wanted = self._wanted_count(key, assigned)
+        if age_s < _FRESH_S:
+            if len(assigned) >= wanted:
+                return assigned
         else:
-            likely = told if told_ago_s < _TOLD_S else ()
-            seen = self._seen(key, weighing, likely)
-            if seen and len(seen) >= self._wanted(key, seen):
-                return seen
+            likely = assigned if age_s < _MAX_AGE_S else ()
+            held = self._active_holders(key, estimates, likely)
+            if held and len(held) >= self._wanted_count(key, held):
+                return held
         request = directory.LocateRequest(
             key=key,
             wanted=wanted,
             proposals=tuple(
                 i.name for i in ranked[: min(wanted + 1, active_count)]
             ),
-            parked_below=weighing.parked_below,
+            parked_below=estimates.parked_below,
         )
-        return await self._ask(home, request) or told
+        return await self._ask(home, request) or assigned
 
-    def _told(
-        self, key: str, weighing: weighing_module.Weighing
+    def _last_assignment(
+        self, key: str, estimates: weighing.WaitEstimates
     ) -> tuple[tuple[str, ...], float]:
-        """Return what the home said, and how long ago."""
+        """Return the listed engines of the last assignment, and its age."""
         known = self._assignments.get(key)
         if known is None:
             return (), math.inf
-        listed = weighing.indexes
+        listed = estimates.column_by_name
         names = tuple(name for name in known.names if name in listed)
-        return names, self._clock.monotonic_s() - known.known_at_s
+        return names, self._clock.monotonic_s() - known.received_at_s
 
-    def _seen(
+    def _active_holders(
         self,
         key: str,
-        weighing: weighing_module.Weighing,
+        estimates: weighing.WaitEstimates,
         likely: tuple[str, ...],
     ) -> tuple[str, ...]:
-        """Return who holds an adapter, by hints of late."""
-        # An engine that was emptied since is given the adapter again: it
-        # costs a load, and its answer says so.  One that this entry
-        # would have fall out of use must not go on without the home's
-        # word: it would never be left, as each request renews its hint.
-        active = weighing.active()
-        places = weighing.indexes
-        held = self._holders.names(key)
-        seen = tuple(name for name in held if places.get(name) in active)
-        return tuple(name for name in seen if name in likely) or seen
+        """Return the active engines that hold an adapter.
+
+        If any of them are in `likely`, only these are returned.
+        """
+        # If an engine has lost the adapter since, the request costs a
+        # load, and the answer's hint corrects the record.  Engines that
+        # this entry instance would park are left out, because each
+        # request renews their hint and they would never be vacated; for
+        # these, the home must be asked.
+        active = estimates.active()
+        columns = estimates.column_by_name
+        holders = self._holders.names(key)
+        held = tuple(name for name in holders if columns.get(name) in active)
+        return tuple(name for name in held if name in likely) or held
 
     async def _ask(
         self, home: live_list.Instance, request: directory.LocateRequest
     ) -> tuple[str, ...]:
         now_s = self._clock.monotonic_s()
-        if now_s < self._silent_until_s.get(home.name, 0.0):
+        if now_s < self._backoff_until_s.get(home.name, 0.0):
             return ()
         try:
             reply = await self._link.locate(home, request)
         except errors.LinkError:
-            # A home that is gone or frozen would hold up each request
-            # of its adapters; for a while this entry decides alone.
-            self._silent_until_s[home.name] = now_s + _SILENT_S
+            # An unreachable or frozen home would delay every request for
+            # its adapters.  During the backoff, this entry instance
+            # decides on its own.
+            self._backoff_until_s[home.name] = now_s + _HOME_BACKOFF_S
             return ()
         self._assignments[request.key] = _Assignment(reply.instances, now_s)
         self._assignments.move_to_end(request.key)
@@ -142,7 +157,8 @@
             self._assignments.popitem(last=False)
         return reply.instances
 
-    def _wanted(self, key: str, names: tuple[str, ...]) -> int:
+    def _wanted_count(self, key: str, names: tuple[str, ...]) -> int:
+        """Return how many engines the adapter needs, by its demand."""
         count = max(1, len(names))
         is_hot = self._demand.value(key) >= _HOT_COUNT
         if not names or not is_hot:
--- a/lacewingpitch/placement.py
+++ b/lacewingpitch/placement.py
@@ -1,4 +1,4 @@
-"""Which backend server a request goes to."""
+"""Ranks the backend servers that a request can be sent to."""
 
 import collections
 from collections.abc import Collection, Iterable, Iterator, Sequence
@@ -17,28 +17,30 @@
 from lacewingpitch import live_list
 from lacewingpitch import rendezvous
 from lacewingpitch import settings as settings_module
-from lacewingpitch import weighing as weighing_module
+from lacewingpitch import weighing
 
+# Hints older than this are dropped.
 HINT_AGE_S = 30.0
 _DEMAND_HALF_LIFE_S = 30.0
-_SQUEEZE_S = 8.0
-_SPREAD_S = 0.2
-# How much longer a request waits for an adapter that nobody holds at its
-# home by hash, rather than where slots are free.
-_HOME_S = 1.0
-# The same for each engine that comes before in the order by hash.  What a
-# home has no turn for, all entries bring to the same next ones.
-_NEXT_HOME_S = 0.05
-_MAX_DETOUR_S = 0.5
-# Engines that hold an adapter, and are asked before one that does not.
-_HOLDERS_FIRST = 2
-_MAX_WEIGHINGS = 64
+_NO_SPARE_SLOT_PENALTY_S = 8.0
+_FILL_COST_S = 0.2
+# A request for an adapter that no engine holds accepts this much more
+# waiting at the adapter's home than at an engine with free slots.
+_HOME_PREFERENCE_S = 1.0
+# The penalty for each engine that comes earlier in the order by hash.
+# With it, all entry instances send the requests that a busy home cannot
+# run to the same next engines.
+_PENALTY_PER_RANK_S = 0.05
+_MAX_RANK_PENALTY_S = 0.5
+# How many holders of an adapter may rank before the first non-holder.
+_MAX_LEADING_HOLDERS = 2
+_MAX_CACHED_ESTIMATES = 64
 
 
 def rank(
     key: str, instances: Sequence[live_list.Instance]
 ) -> list[live_list.Instance]:
-    """Return instances by rendezvous hash, the same at every process."""
+    """Return instances by rendezvous hash, the same in every process."""
     return sorted(
         instances,
         key=lambda instance: rendezvous.score(key, instance.name),
@@ -47,34 +49,36 @@
 
 
 def bucket(key: str, count: int) -> int:
-    """Return a number below `count`, the same at every process."""
+    """Return a hash below `count`, the same in every process."""
     return xxhash.xxh3_64_intdigest(key.encode()) % count
 
 
 class Placement:
-    """Sends requests where their adapter is, or will be loaded best.
+    """Ranks backend servers by the wait that a request expects there.
 
-    Backend servers are weighed by the seconds that a request is
-    expected to wait there.  For an adapter that is not seen anywhere,
-    its home by rendezvous hash is asked, so that all entry instances
-    send it to the same one and its requests share one load.  When the
-    backend servers of a hot adapter fill up, it is given one more.
+    Requests go where their adapter is held or where loading it costs
+    least.  If no engine is known to hold the adapter, its home by
+    rendezvous hash comes first: all entry instances send it there, and
+    its requests share one load.  Once the backend servers of a hot
+    adapter are full, it is placed on one more.
 
     Parameters
     ----------
     homes
-        Way to the homes; without it, adapters are used at their home.
+        Queries the homes of adapters; without it, an adapter that no
+        engine holds is placed on its home.
     squeeze_s
-        What a load counts where no slot is spare, beside its wait; none
-        where the told wait for a load says when a place comes free.
+        Penalty for a load where no slot is spare, in addition to the
+        expected wait.  Zero if the reported wait for a load already
+        includes the wait for a slot.
     load_age_s
-        How long what an engine tells of its load is believed.
+        How long the load that a hint reports is used.
     copies
-        Where engines keep copies of adapters that they held; ``None``
-        where they keep none.
+        Where engines cache copies of adapters that they evicted;
+        ``None`` if they cache none.
     instance
-        Name of this entry, by which entries take different ones of
-        several engines that are as good.
+        Name of this entry instance.  It breaks ties, so that entry
+        instances choose different ones of several equally good engines.
     """
 
     def __init__(
@@ -82,7 +86,7 @@
         clock: clock_module.Clock,
         objective: settings_module.ObjectiveSettings | None = None,
         homes: directory.DirectoryLink | None = None,
-        squeeze_s: float = _SQUEEZE_S,
+        squeeze_s: float = _NO_SPARE_SLOT_PENALTY_S,
         load_age_s: float = HINT_AGE_S,
         copies: kept_copies.KeptCopies | None = None,
         instance: str = '',
@@ -92,9 +96,10 @@
         self._instance = instance
         self._squeeze_s = squeeze_s
         objective = objective or settings_module.ObjectiveSettings()
-        # Above one half the emptier of two equal backend servers is
-        # taken, below it the fuller, whose steps are then used better.
-        self._spread_s = _SPREAD_S * (2.0 * objective.stall_weight - 1.0)
+        # With a stall weight above one half, the emptier of two equal
+        # backend servers is preferred; below it the fuller one, whose
+        # batches are then used better.
+        self._fill_cost_s = _FILL_COST_S * (2.0 * objective.stall_weight - 1.0)
         self._demand = demand.DecayedCounts(clock, _DEMAND_HALF_LIFE_S)
         self._holders = adapter_holders.AdapterHolders(copies)
         self._pools = engine_pools.EnginePools(clock, objective)
@@ -105,242 +110,257 @@
                 homes,
                 self._demand,
                 self._holders,
-                lambda name: self._view(name).fill_ratio,
+                lambda name: self._state(name).fill_ratio,
             )
-        self._views: dict[str, weighing_module.View] = {}
-        self._weighings: dict[int, weighing_module.Weighing] = {}
-        self._heard_at_s: collections.OrderedDict[str, float] = (
+        self._states: dict[str, weighing.BackendState] = {}
+        self._estimates: dict[int, weighing.WaitEstimates] = {}
+        self._hint_received_at_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
-        # Of these, the ones whose load is still believed.
-        self._load_told_at_s: collections.OrderedDict[str, float] = (
+        # Of these, the backend servers whose load is still current.
+        self._load_received_at_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     async def locate(
         self, key: str, instances: Sequence[live_list.Instance]
     ) -> list[live_list.Instance]:
-        """Return the instances to try, best first, as the home has it."""
+        """Return the instances to try, best first.
+
+        The instances that the home of the adapter assigned come first.
+        """
         if not instances:
             return []
-        weighing = self._weighing(instances)
-        ranked = self._ranked(key, weighing)
+        estimates = self._estimates_of(instances)
+        ranked = self._ranked(key, estimates)
         if self._homes is None or len(instances) <= 1:
             return ranked
         home = rank(key, ranked)[0]
-        names = await self._homes.assigned(key, weighing, home, ranked)
-        chosen = [i for i in ranked if i.name in names]
-        return chosen + [i for i in ranked if i.name not in names]
+        names = await self._homes.assigned(key, estimates, home, ranked)
+        assigned = [i for i in ranked if i.name in names]
+        return assigned + [i for i in ranked if i.name not in names]
 
     def candidates(
         self, key: str, instances: Sequence[live_list.Instance]
     ) -> list[live_list.Instance]:
-        """Return the instances in the order of this entry's own view."""
+        """Return the instances, best first, without asking a home."""
         if not instances:
             return []
-        return self._ranked(key, self._weighing(instances))
+        return self._ranked(key, self._estimates_of(instances))
 
     def _ranked(
-        self, key: str, weighing: weighing_module.Weighing
+        self, key: str, estimates: weighing.WaitEstimates
     ) -> list[live_list.Instance]:
-        active = weighing.active()
-        holders = frozenset(weighing.places(self._holders.names(key)))
-        copies = weighing.places(self._holders.names_with_copy(key))
-        waits_s = weighing.waits_s(holders, copies)
-        by_hash = weighing.by_hash(key)
+        active = estimates.active()
+        holders = frozenset(estimates.columns_of(self._holders.names(key)))
+        copies = estimates.columns_of(self._holders.names_with_copy(key))
+        waits_s = estimates.waits_s(holders, copies)
+        by_hash = estimates.columns_by_hash(key)
         if self._homes is None:
             known = holders.union(copies)
-            _add_detours(waits_s, by_hash, known)
+            _add_rank_penalties(waits_s, by_hash, known)
             if not known:
-                waits_s[by_hash[0]] -= _HOME_S
-            by_hash = self._spread(key, weighing, by_hash, holders)
-        ranked = [place for place in by_hash if place in active]
+                waits_s[by_hash[0]] -= _HOME_PREFERENCE_S
+            by_hash = self._shuffle_holders(key, estimates, by_hash, holders)
+        ranked = [column for column in by_hash if column in active]
         ranked.sort(key=waits_s.__getitem__)
         if self._homes is None:
             _promote_non_holder(ranked, holders)
-        ranked += [place for place in by_hash if place not in active]
-        return [weighing.instances[place] for place in ranked]
+        ranked += [column for column in by_hash if column not in active]
+        return [estimates.instances[column] for column in ranked]
 
-    def _spread(
+    def _shuffle_holders(
         self,
         key: str,
-        weighing: weighing_module.Weighing,
+        estimates: weighing.WaitEstimates,
         by_hash: list[int],
         holders: Collection[int],
     ) -> list[int]:
-        """Return the places with the holders first, in an own order.
+        """Return the columns, holders first, in an order of this entry.
 
-        Entries that know nothing of the load of an adapter's engines
-        would all ask the same one first, and then the same next one.
+        Entry instances without current loads of an adapter's engines
+        would otherwise all try the same one first, then the same next.
         """
         if len(holders) <= 1:
             return by_hash
-        own = weighing.by_hash(f'{self._instance}/{key}')
-        others = [place for place in by_hash if place not in holders]
-        return [place for place in own if place in holders] + others
+        own = estimates.columns_by_hash(f'{self._instance}/{key}')
+        others = [column for column in by_hash if column not in holders]
+        return [column for column in own if column in holders] + others
 
     @contextlib.contextmanager
     def sent(self, key: str, instance: str) -> Iterator[None]:
-        """Count a request as on its way while the context is open."""
-        view = self._view(instance)
+        """Count a request as in progress while the context is open."""
+        state = self._state(instance)
         self._drop_old_hints()
         self._demand.add(key)
-        view.sent_since_hint += 1
-        view.loads_since_hint += instance not in self._holders.names(key)
-        view.under_way_count += 1
-        self._note_change(view)
+        state.sent_since_hint += 1
+        state.loads_since_hint += instance not in self._holders.names(key)
+        state.in_progress_count += 1
+        self._mark_stale(state)
         try:
             with self._holders.sent(key, instance):
                 yield
         finally:
-            view.under_way_count -= 1
-            self._note_change(view)
+            state.in_progress_count -= 1
+            self._mark_stale(state)
 
     def learn(self, instance: str, header: str) -> None:
-        """Take over the hint on an answer; a useless one is dropped."""
+        """Apply the hint header of an answer; ignore an invalid one."""
         hint = hint_module.decode_hint(header)
         if hint is not None:
             self.learn_hint(instance, hint)
 
     def learn_hint(self, instance: str, hint: hint_module.Hint) -> None:
-        """Take over what a sidecar told of its engine."""
-        view = self._view(instance)
-        self._forget_hint(instance, view)
-        view.hint = hint
+        """Apply a hint about a sidecar's engine."""
+        state = self._state(instance)
+        self._forget_hint(instance, state)
+        state.hint = hint
         self._holders.learn_hint(instance, hint)
         now_s = self._clock.monotonic_s()
-        for heard_at_s in (self._heard_at_s, self._load_told_at_s):
-            heard_at_s[instance] = now_s
-            heard_at_s.move_to_end(instance)
-        view.is_load_known = True
-        view.sent_since_hint = 0
-        view.loads_since_hint = 0
-        self._note_change(view)
+        for received_at_s in (
+            self._hint_received_at_s,
+            self._load_received_at_s,
+        ):
+            received_at_s[instance] = now_s
+            received_at_s.move_to_end(instance)
+        state.is_load_current = True
+        state.sent_since_hint = 0
+        state.loads_since_hint = 0
+        self._mark_stale(state)
 
     def learn_listed(self, instance: str, keys: Iterable[str]) -> None:
-        """Take over what the published list says that one holds.
+        """Apply the adapters that an instance holds by the published list.
 
-        Load it answers: fleets in which an entry hears from each engine
-        too seldom to know what the others had loaded there.  A list that
-        is out of date costs little: an engine keeps a copy of what it
-        held of late.
+        In a large fleet, hints from each engine reach an entry instance
+        too rarely to show which adapters other entry instances had
+        loaded there.  An outdated list costs little, because an engine
+        caches copies of adapters that it evicted recently.
         """
         self._holders.learn_listed(instance, keys)
 
     def forget(self, instance: str) -> None:
-        """Forget what one holds and told: it has started again, empty."""
-        view = self._views.get(instance)
-        if view is not None:
-            self._forget_view(instance, view)
-            self._note_change(view)
+        """Forget the state of an instance that restarted empty."""
+        state = self._states.get(instance)
+        if state is not None:
+            self._forget_state(instance, state)
+            self._mark_stale(state)
         self._holders.forget(instance)
 
     def retain(self, instances: Sequence[live_list.Instance]) -> None:
-        """Forget backend servers that are listed no more."""
-        # Weighings are of the list before.
-        self._drop_weighings()
+        """Forget the backend servers that are no longer listed."""
+        # The cached estimates belong to the previous list.
+        self._drop_estimates()
         names = {instance.name for instance in instances}
-        for name in self._views.keys() - names:
-            view = self._views[name]
-            if not view.under_way_count:
-                self._forget_view(name, view)
-                del self._views[name]
+        for name in self._states.keys() - names:
+            state = self._states[name]
+            if not state.in_progress_count:
+                self._forget_state(name, state)
+                del self._states[name]
         self._holders.retain(names)
 
-    def _forget_view(self, name: str, view: weighing_module.View) -> None:
-        self._forget_hint(name, view)
-        self._heard_at_s.pop(name, None)
-        self._load_told_at_s.pop(name, None)
+    def _forget_state(self, name: str, state: weighing.BackendState) -> None:
+        self._forget_hint(name, state)
+        self._hint_received_at_s.pop(name, None)
+        self._load_received_at_s.pop(name, None)
 
-    def _view(self, instance: str) -> weighing_module.View:
-        return self._views.setdefault(instance, weighing_module.View())
+    def _state(self, instance: str) -> weighing.BackendState:
+        return self._states.setdefault(instance, weighing.BackendState())
 
-    def _note_change(self, view: weighing_module.View) -> None:
-        for weighing, index in view.places:
-            weighing.note_change(index)
+    def _mark_stale(self, state: weighing.BackendState) -> None:
+        for estimates, column in state.columns:
+            estimates.mark_stale(column)
 
     def _drop_old_hints(self) -> None:
-        for name in self._pop_older(self._load_told_at_s, self._load_age_s):
-            self._views[name].is_load_known = False
-            self._note_change(self._views[name])
-        for name in self._pop_older(self._heard_at_s, HINT_AGE_S):
-            self._forget_hint(name, self._views[name])
-            self._note_change(self._views[name])
-
-    def _pop_older(
+        for name in self._pop_expired(
+            self._load_received_at_s, self._load_age_s
+        ):
+            self._states[name].is_load_current = False
+            self._mark_stale(self._states[name])
+        for name in self._pop_expired(self._hint_received_at_s, HINT_AGE_S):
+            self._forget_hint(name, self._states[name])
+            self._mark_stale(self._states[name])
+
+    def _pop_expired(
         self,
-        heard_at_s: collections.OrderedDict[str, float],
-        limit_s: float,
+        received_at_s: collections.OrderedDict[str, float],
+        max_age_s: float,
     ) -> Iterator[str]:
         now_s = self._clock.monotonic_s()
-        while heard_at_s:
-            name, at_s = next(iter(heard_at_s.items()))
-            if now_s - at_s < limit_s:
+        while received_at_s:
+            name, at_s = next(iter(received_at_s.items()))
+            if now_s - at_s < max_age_s:
                 return
-            del heard_at_s[name]
+            del received_at_s[name]
             yield name
 
-    def _forget_hint(self, instance: str, view: weighing_module.View) -> None:
-        if view.hint is None:
+    def _forget_hint(
+        self, instance: str, state: weighing.BackendState
+    ) -> None:
+        if state.hint is None:
             return
-        self._holders.forget_hint(instance, view.hint)
-        view.hint = None
+        self._holders.forget_hint(instance, state.hint)
+        state.hint = None
 
-    def _weighing(
+    def _estimates_of(
         self, instances: Sequence[live_list.Instance]
-    ) -> weighing_module.Weighing:
-        """Return the weights of instances, as of now."""
+    ) -> weighing.WaitEstimates:
+        """Return the current estimates for these instances."""
         self._drop_old_hints()
         fixed = tuple(instances)
-        # By identity, which a tuple that is kept here does not lose to
-        # another: an instance of the same name may be another process.
-        found = self._weighings.get(id(fixed))
+        # Keyed by identity, not by names: an instance of the same name
+        # may be another process.  The cached estimates keep the tuple
+        # alive, so its id is not reused.
+        found = self._estimates.get(id(fixed))
         if found is None:
-            found = self._new_weighing(fixed)
+            found = self._new_estimates(fixed)
         self._pools.set_active_count(found)
         return found
 
-    def _new_weighing(
+    def _new_estimates(
         self, instances: tuple[live_list.Instance, ...]
-    ) -> weighing_module.Weighing:
-        if len(self._weighings) >= _MAX_WEIGHINGS:
-            self._drop_weighings()
-        found = weighing_module.Weighing(
+    ) -> weighing.WaitEstimates:
+        if len(self._estimates) >= _MAX_CACHED_ESTIMATES:
+            self._drop_estimates()
+        found = weighing.WaitEstimates(
             instances,
-            [self._view(instance.name) for instance in instances],
+            [self._state(instance.name) for instance in instances],
             self._pools.of(instances),
-            self._spread_s,
+            self._fill_cost_s,
             self._squeeze_s,
         )
-        self._weighings[id(instances)] = found
+        self._estimates[id(instances)] = found
         return found
 
-    def _drop_weighings(self) -> None:
-        self._weighings.clear()
-        for view in self._views.values():
-            view.places.clear()
+    def _drop_estimates(self) -> None:
+        self._estimates.clear()
+        for state in self._states.values():
+            state.columns.clear()
 
 
-def _add_detours(
+def _add_rank_penalties(
     waits_s: list[float], by_hash: Sequence[int], known: Collection[int]
 ) -> None:
-    """Have engines that have no use for an adapter come in one order."""
-    for number, place in enumerate(by_hash):
-        if place not in known:
-            waits_s[place] += min(number * _NEXT_HOME_S, _MAX_DETOUR_S)
+    """Penalize engines without the adapter by their rank by hash."""
+    for number, column in enumerate(by_hash):
+        if column not in known:
+            waits_s[column] += min(
+                number * _PENALTY_PER_RANK_S, _MAX_RANK_PENALTY_S
+            )
 
 
 def _promote_non_holder(ranked: list[int], holders: Collection[int]) -> None:
-    """Have one engine that does not hold an adapter come early.
+    """Move the best engine that does not hold the adapter to third rank.
 
-    An adapter that becomes hot fills the engines that hold it.  Where only
-    these are asked, its requests are refused beside engines that are idle.
+    An adapter that becomes hot fills the engines that hold it.  If only
+    these were tried, its requests would be refused while others are idle.
     """
-    if len(ranked) <= _HOLDERS_FIRST:
+    if len(ranked) <= _MAX_LEADING_HOLDERS:
         return
-    if any(place not in holders for place in ranked[: _HOLDERS_FIRST + 1]):
+    if any(
+        column not in holders for column in ranked[: _MAX_LEADING_HOLDERS + 1]
+    ):
         return
-    other = next((p for p in ranked if p not in holders), None)
+    other = next((c for c in ranked if c not in holders), None)
     if other is not None:
         ranked.remove(other)
-        ranked.insert(_HOLDERS_FIRST, other)
+        ranked.insert(_MAX_LEADING_HOLDERS, other)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -275,7 +275,7 @@
         for instance in instances:
             places.learn(instance.name, make_hint('a@1'))
         places.retain(instances[:1])
-        assert set(places._views) == {instances[0].name}
+        assert set(places._states) == {instances[0].name}
 
 
 class TestKeptWeights:
@@ -341,8 +341,8 @@
         places = make_placement(clock)
         for number in range(1000):
             places.candidates('a@1', make_instances(1 + number % 3))
-        assert len(places._weighings) <= 64
-        assert all(len(v.places) <= 64 for v in places._views.values())
+        assert len(places._estimates) <= 64
+        assert all(len(s.columns) <= 64 for s in places._states.values())
 
 
 class TestObjective:
