--- a/lacewingpitch/place_forecast.py
+++ b/lacewingpitch/place_forecast.py
@@ -1,27 +1,27 @@
-"""When an adapter that waits finds a place in the engine, and is loaded."""
+"""Simulates when adapter slots of an engine come free and are loaded."""
 
 from collections.abc import Iterable
 import dataclasses
 import heapq
 import math
 
-# Requests of one adapter at once.  Above it a busy period lasts longer than
-# any caller waits.
-_MAX_LOAD = 3.5
-# What an engine without any place tells: longer than any request waits.
+# Limit of the mean number of concurrent requests of an adapter.  Above it,
+# a busy period lasts longer than any caller waits.
+_MAX_OFFERED_LOAD = 3.5
+# The wait at an engine without any slot; longer than any request waits.
 _NEVER_S = 3600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Occupancy:
-    """What one adapter that waits takes of a place.
+    """How long a waiting adapter will occupy a slot.
 
     Parameters
     ----------
     load_s
-        Time until it is loaded.
+        Duration of its load.
     use_s
-        Time for which its requests then keep it.
+        How long its requests use it then.
     """
 
     load_s: float
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterWait:
-    """What a request waits for its adapter.
+    """The expected wait of a request for its adapter.
 
     Parameters
     ----------
     place_s
-        Until a place is free, and its load begins.
+        Until a slot is free and the load begins.
     load_s
-        From then on until it is loaded.
+        Duration of the load.
     """
 
     place_s: float = 0.0
@@ -45,58 +45,62 @@
 
     @property
     def total_s(self) -> float:
-        """Return the whole wait."""
+        """Return the total wait."""
         return self.place_s + self.load_s
 
 
 def renewed_s(busy_s: float, rate_per_s: float, use_s: float) -> float:
-    """Return how much longer a place is kept by requests to come.
+    """Return how much longer future requests keep a slot busy.
 
-    While it is busy, they come by chance at some rate, and each keeps it
-    for some time: the busy period of a queue with any number of servers
-    (M/G/infinity), begun again where one comes before the last has ended.
+    Requests arrive as a Poisson process, and each uses the slot for some
+    time.  The result is the expected busy period of an M/G/infinity
+    queue, times the probability that a request arrives before the
+    running ones have ended.
 
     Parameters
     ----------
     busy_s
-        Until when those that are there keep it.
+        How long the running requests keep the slot busy.
+    rate_per_s
+        Arrival rate.
     use_s
-        For how long each of them keeps it, in the mean.
+        Mean duration of a request.
     """
     if not rate_per_s:
         return 0.0
-    load = min(rate_per_s * use_s, _MAX_LOAD)
+    load = min(rate_per_s * use_s, _MAX_OFFERED_LOAD)
     period_s = math.expm1(load) / rate_per_s
     return -math.expm1(-rate_per_s * busy_s) * period_s
 
 
 class PlaceForecast:
-    """Plays the places of an engine forward, adapter by adapter.
+    """Simulates the slots of an engine, adapter by adapter.
 
-    Load it answers: more adapters wanted at once than an engine holds.
-    Each waits for a place that is kept by runs, by prompts that wait and
-    by loads; without knowing that, requests are let in and are late.
+    If more adapters are wanted at once than an engine has slots, each
+    waits for slots that are held by running requests, by queued prompts
+    and by loads.  Without this estimate, requests would be admitted that
+    miss their deadline.
 
     Parameters
     ----------
     free_in_s
-        When each place comes free; those with an adapter on its way
-        included.
+        When each slot comes free, including those whose adapter is being
+        loaded.
     load_count
-        Loads that may be under way at once.
+        How many loads may run at once.
     """
 
     def __init__(self, free_in_s: Iterable[float], load_count: int) -> None:
-        self._places = list(free_in_s)
-        heapq.heapify(self._places)
-        self._loaders = [0.0] * max(1, load_count)
+        self._free_in_s = list(free_in_s)
+        heapq.heapify(self._free_in_s)
+        self._loader_free_in_s = [0.0] * max(1, load_count)
 
     def take(self, occupancy: Occupancy) -> AdapterWait:
-        """Give the next place to an adapter; return what it waits."""
-        if not self._places:
+        """Assign the next free slot to an adapter; return its wait."""
+        if not self._free_in_s:
             return AdapterWait(_NEVER_S, occupancy.load_s)
-        begin_s = max(self._places[0], self._loaders[0])
+        begin_s = max(self._free_in_s[0], self._loader_free_in_s[0])
         loaded_s = begin_s + occupancy.load_s
-        heapq.heapreplace(self._loaders, loaded_s)
-        heapq.heapreplace(self._places, loaded_s + occupancy.use_s)
+        heapq.heapreplace(self._loader_free_in_s, loaded_s)
+        heapq.heapreplace(self._free_in_s, loaded_s + occupancy.use_s)
         return AdapterWait(begin_s, occupancy.load_s)
--- a/lacewingpitch/slot.py
+++ b/lacewingpitch/slot.py
@@ -1,4 +1,4 @@
-"""One adapter slot of an engine."""
+"""An adapter slot of an engine: its state and its expected use."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class SlotState(enum.Enum):
-    """What an adapter slot is at."""
+    """State of an adapter slot."""
 
     LOADING = enum.auto()
     READY = enum.auto()
@@ -16,23 +16,27 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Slot:
-    """One adapter in the engine.
+    """An adapter slot of an engine, and the adapter in it.
 
     Parameters
     ----------
     serving
-        Requests that run on it or are about to, streams being resumed
-        included.
+        Requests that run on the adapter or are about to, including
+        streams that are being resumed.
     is_closing
-        Whether it takes no new requests, so that it comes free.
+        Whether the slot accepts no new requests, so that its adapter
+        can be evicted.
+    used_at_s
+        When a request last started or ended.
     adopted_at_s
-        When it was taken over from an earlier sidecar, whose runs may
-        still be on it; they count as one in `serving`.
+        When the slot was adopted from an earlier sidecar, whose requests
+        may still run; they count as one in `serving`.  ``None`` once the
+        engine reports that they have ended.
     busy_until_s
-        When its requests are expected to have ended; ``None`` if none of
-        them said.
+        When the running requests are expected to have ended; ``None`` if
+        no expected duration is known.
     mean_use_s
-        For how long one of them is expected to use it, in the mean.
+        Moving average of the expected duration of a request.
     """
 
     name: str
@@ -47,11 +51,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can start on it now."""
+        """Whether a request can start on the adapter now."""
         return self.state is SlotState.READY and not self.is_closing
 
     def serve(self, now_s: float, use_s: float | None) -> None:
-        """Count one more request, expected to keep it for some time."""
+        """Count one more request that is expected to last `use_s`."""
         self.serving += 1
         if use_s is not None:
             until_s = now_s + use_s
@@ -61,9 +65,9 @@
             self.busy_until_s = max(self.busy_until_s or 0.0, until_s)
 
     def free_in_s(self, now_s: float) -> float:
-        """Return when its requests are expected to have ended."""
+        """Return the expected time until its running requests have ended."""
         if not self.serving or self.busy_until_s is None:
             return 0.0
-        # What is overdue by some time is expected to last as long again,
-        # so that a stalled engine worsens every estimate.
+        # Overdue requests are expected to last as long again as they are
+        # overdue, so that every estimate grows while an engine is stalled.
         return abs(self.busy_until_s - now_s)
--- a/lacewingpitch/slot_forecast.py
+++ b/lacewingpitch/slot_forecast.py
@@ -1,4 +1,4 @@
-"""What a request would wait for its adapter, by the slots of its engine."""
+"""Forecasts how long a request waits for its adapter to be loaded."""
 
 from typing import TypeAlias
 
@@ -13,15 +13,15 @@
 
 
 class SlotForecast:
-    """Plays forward who gets the slots of an engine, and when.
+    """Simulates which adapters get the slots of an engine, and when.
 
     Parameters
     ----------
     waiters
-        Requests that wait, by adapter; those whose waiting costs most go
-        first.
+        Waiting requests by adapter.  Adapters are loaded in the order of
+        their waiting cost, highest first.
     max_loading
-        Loads that may be under way at once.
+        How many loads may run at once.
     """
 
     def __init__(
@@ -39,23 +39,28 @@
         self._clock = clock
 
     def wait(self, name: str = '') -> place_forecast.AdapterWait:
-        """Return what a request for adapter `name` would wait now."""
+        """Return the expected wait of a request for adapter `name`.
+
+        Without a name, the wait is that for an adapter that is neither
+        held nor cached.
+        """
         if self._slots.is_open(name):
             return place_forecast.AdapterWait()
         now_s = self._clock.monotonic_s()
         slot = self._slots.get(name)
         if slot is not None and slot.state is slot_module.SlotState.LOADING:
             return place_forecast.AdapterWait(
-                load_s=self._load_left_s(slot, now_s)
+                load_s=self._remaining_load_s(slot, now_s)
             )
-        forecast = place_forecast.PlaceForecast(
+        simulation = place_forecast.PlaceForecast(
             self._free_in_s(now_s), self._max_loading
         )
         for other in self._loaded_before(name):
-            forecast.take(self._occupancy(other))
-        return forecast.take(self._occupancy(name))
+            simulation.take(self._occupancy(other))
+        return simulation.take(self._occupancy(name))
 
     def _loaded_before(self, name: str) -> list[str]:
+        """Return the waiting adapters that are loaded before `name`."""
         ahead = [n for n in self._waiters if n not in self._slots]
         if name in self._waiters:
             cost = self._waiters.cost(name)
@@ -63,33 +68,36 @@
         return sorted(ahead, key=self._waiters.cost, reverse=True)
 
     def _occupancy(self, name: str) -> place_forecast.Occupancy:
-        is_trial = 2 * self._slots.loading_count < self._max_loading
+        is_probe = 2 * self._slots.loading_count < self._max_loading
         return place_forecast.Occupancy(
-            self._load_times.expected_s(name, is_trial),
+            self._load_times.expected_s(name, is_probe),
             self._waiters.use_s(name),
         )
 
-    def _load_left_s(self, slot: slot_module.Slot, now_s: float) -> float:
+    def _remaining_load_s(self, slot: slot_module.Slot, now_s: float) -> float:
         load_s = self._load_times.expected_s(slot.name)
+        # An overdue load is expected to last as long again as it is
+        # overdue.
         return abs(slot.loading_since_s + load_s - now_s)
 
     def _free_in_s(self, now_s: float) -> list[float]:
+        """Return when each slot is expected to come free, from now."""
         free_in_s = []
         for slot in self._slots:
             if slot.state is slot_module.SlotState.LOADING:
                 use_s = self._waiters.use_s(slot.name)
-                free_in_s.append(self._load_left_s(slot, now_s) + use_s)
+                free_in_s.append(self._remaining_load_s(slot, now_s) + use_s)
             elif slot.state is slot_module.SlotState.READY:
                 busy_s = slot.free_in_s(now_s)
-                free_in_s.append(busy_s + self._renewed_s(slot, busy_s))
+                free_in_s.append(busy_s + self._extension_s(slot, busy_s))
         spare = self._slots.slot_count - len(free_in_s)
         return free_in_s + [0.0] * spare
 
-    def _renewed_s(self, slot: slot_module.Slot, busy_s: float) -> float:
-        """Return for how long requests to come keep a place, too.
+    def _extension_s(self, slot: slot_module.Slot, busy_s: float) -> float:
+        """Return how much longer future requests keep a slot busy.
 
-        A hot adapter is never idle: its next request comes before the
-        last has ended, and begins another busy period.
+        The slot of a hot adapter is never idle: its next request arrives
+        before the last has ended, and extends the busy period.
         """
         if slot.is_closing or not busy_s:
             return 0.0
--- a/lacewingpitch/slot_table.py
+++ b/lacewingpitch/slot_table.py
@@ -1,4 +1,4 @@
-"""Which adapters take the slots of an engine, and which may go."""
+"""The table of an engine's adapter slots, and its eviction policy."""
 
 from collections.abc import Iterable, Iterator
 
@@ -8,21 +8,22 @@
 
 _DEMAND_HALF_LIFE_S = 10.0
 _RECENT_USE_S = 5.0
+# An idle slot counts as unused after this time.
 _UNUSED_S = 6.0
 
 
 class SlotTable:
-    """The slots by adapter.
+    """The occupied slots of an engine, by adapter.
 
-    An adapter is evicted only when nothing runs on it and nothing is about
-    to; among these, the one least in demand goes.
+    Only an adapter without running or starting requests is evicted; of
+    these, the one least in demand.
 
     Attributes
     ----------
     slot_count
-        Adapters that the engine holds at once.
+        How many adapters the engine holds at once.
     demand
-        How often adapters were asked for of late.
+        Recent requests for each adapter.
     """
 
     def __init__(self, slot_count: int, clock: clock_module.Clock) -> None:
@@ -32,11 +33,11 @@
         self.demand = demand_module.DecayedCounts(clock, _DEMAND_HALF_LIFE_S)
 
     def __contains__(self, name: str) -> bool:
-        """Whether a slot is taken by an adapter."""
+        """Whether an adapter occupies a slot."""
         return name in self._slots
 
     def __iter__(self) -> Iterator[slot_module.Slot]:
-        """Iterate over the slots that are taken, as they are now."""
+        """Iterate over a snapshot of the occupied slots."""
         return iter(tuple(self._slots.values()))
 
     def get(self, name: str) -> slot_module.Slot | None:
@@ -44,14 +45,14 @@
         return self._slots.get(name)
 
     def put(self, slot: slot_module.Slot) -> None:
-        """Give a slot to an adapter."""
+        """Add a slot under the name of its adapter."""
         self._slots[slot.name] = slot
 
     def discard(self, slot: slot_module.Slot) -> None:
         """Free a slot.
 
-        After a restart another slot of the same name may stand here; only
-        the one that is meant goes.
+        After an engine restart, the table may hold another slot of the
+        same name; that one stays.
         """
         if self._slots.get(slot.name) is slot:
             del self._slots[slot.name]
@@ -67,7 +68,7 @@
 
     @property
     def loading_count(self) -> int:
-        """Return how many loads are under way."""
+        """Return how many adapters are being loaded."""
         return sum(
             1
             for slot in self._slots.values()
@@ -76,17 +77,17 @@
 
     @property
     def free_count(self) -> int:
-        """Return how many slots no adapter takes."""
+        """Return how many slots hold no adapter."""
         return self.slot_count - len(self._slots)
 
     @property
-    def room_count(self) -> int:
-        """Return how many adapters could be loaded now."""
+    def available_count(self) -> int:
+        """Return how many slots are free or can be freed by eviction."""
         return self.free_count + sum(1 for _ in self._idle())
 
     @property
     def unused_count(self) -> int:
-        """Return how many slots can change hands at little cost."""
+        """Return how many slots have been idle for some time."""
         now_s = self._clock.monotonic_s()
         return sum(
             1 for slot in self._idle() if now_s - slot.used_at_s >= _UNUSED_S
@@ -94,29 +95,29 @@
 
     @property
     def is_freeing(self) -> bool:
-        """Whether a slot is on its way to come free."""
+        """Whether a slot is closing, loading or being evicted."""
         return any(
             slot.is_closing or slot.state is not slot_module.SlotState.READY
             for slot in self._slots.values()
         )
 
     def choose_victims(self) -> list[slot_module.Slot]:
-        """Mark the adapters that give way to those that were put last."""
+        """Mark idle slots for eviction until the table fits the engine."""
         victims: list[slot_module.Slot] = []
         while len(self._slots) - len(victims) > self.slot_count:
             idle = list(self._idle())
             if not idle:
                 break
-            victim = min(idle, key=self._worth)
+            victim = min(idle, key=self._retention_key)
             victim.state = slot_module.SlotState.EVICTING
             victims.append(victim)
         return victims
 
     def close_least_wanted(self) -> None:
-        """Have the least wanted adapter take no new requests."""
+        """Close the open slot whose adapter is least in demand."""
         ready = [slot for slot in self._slots.values() if slot.is_open]
         if ready:
-            min(ready, key=self._worth).is_closing = True
+            min(ready, key=self._retention_key).is_closing = True
 
     def _idle(self) -> Iterable[slot_module.Slot]:
         return (
@@ -125,11 +126,12 @@
             if slot.state is slot_module.SlotState.READY and not slot.serving
         )
 
-    def _worth(
+    def _retention_key(
         self, slot: slot_module.Slot
     ) -> tuple[bool, bool, float, float]:
-        # A slot used a moment ago stays while another can go: the next
-        # request of the same conversation would find it just evicted.
+        """Return a sort key by which the first slots are evicted first."""
+        # A recently used slot is kept if another can be evicted, because
+        # the next request of the same conversation may need it.
         now_s = self._clock.monotonic_s()
         return (
             not slot.is_closing,
--- a/lacewingpitch/slots.py
+++ b/lacewingpitch/slots.py
@@ -347,7 +347,7 @@
         self._reopen_slots()
         wanted = min(
             len(self._loadable()),
-            self._slots.room_count,
+            self._slots.available_count,
             self._max_loading,
             self._max_under_way - self._slots.loading_count,
         )
@@ -372,7 +372,7 @@
                 self._asking -= 1
                 is_asking = False
                 names = self._loadable()
-                if not names or self._slots.room_count < 1:
+                if not names or self._slots.available_count < 1:
                     return
                 name = max(names, key=self._waiters.cost)
                 if await self._bring(name):
@@ -462,7 +462,7 @@
         # Slots whose requests overlap without a gap are never idle, and
         # an adapter that waits would wait for ever.  The least wanted
         # of them takes no new requests until it has been evicted.
-        if self._slots.room_count > 0 or self._slots.is_freeing:
+        if self._slots.available_count > 0 or self._slots.is_freeing:
             return
         if not any(
             self._waiters.longest_wait_s(name) >= self._close_after_s
