--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -81,7 +81,7 @@
         max_running=16,
         load_wait_ms=500,
         spare_slots=2,
-        adapters=hint_module.join_fingerprints(map(str, range(8))),
+        adapters=hint_module.encode_fingerprints(map(str, range(8))),
     )
 )
 
@@ -255,7 +255,11 @@
         keys = [f'adapter-{number:05}@v1' for number in range(_PROBE_KEYS)]
         ranks.append(
             slopes.least_us(
-                len(keys), slopes.for_each, placement.rank, keys, members
+                len(keys),
+                slopes.for_each,
+                placement.rank_by_hash,
+                keys,
+                members,
             )
         )
         votings.append(
@@ -294,9 +298,9 @@
     members: tuple[live_list.Instance, ...],
 ) -> None:
     """Choose for a request, and take over the hint on its answer."""
-    name = choice.candidates(key, members)[0].name
-    with choice.sent(key, name):
-        choice.learn(name, _HINT)
+    name = choice.ranked_instances(key, members)[0].name
+    with choice.track_request(key, name):
+        choice.apply_hint_header(name, _HINT)
 
 
 def _voters_of(key: str, index: voter.VoterIndex) -> voter.VoterSet:
@@ -796,15 +800,15 @@
     """The store's permits at their keeper, by sidecars that wait."""
     held, times = [], []
     for count in ASKING:
-        held.append(slopes.held_bytes(_desk, count))
-        desk = _desk(count)
+        held.append(slopes.held_bytes(_issuer, count))
+        issuer = _issuer(count)
         asks = [_permit(number) for number in range(count)]
         repeats = max(1, _PROBE_KEYS // count)
         work = [a for _ in range(repeats) for a in asks]
         times.append(
-            slopes.least_us(len(work), slopes.for_each, desk.ask, work)
+            slopes.least_us(len(work), slopes.for_each, issuer.ask, work)
         )
-        desk.close()
+        issuer.close()
     return [
         slopes.Slope('request for a permit, held', 'B', ASKING, held),
         slopes.Slope(
@@ -820,7 +824,9 @@
         self.clock = virtual_time.LoopClock()
         self.store = store
         self.asks_count = 0
-        self.desk = store_pacing.PermitDesk(self.clock, store, self._notify)
+        self.issuer = store_pacing.PermitIssuer(
+            self.clock, store, self._notify
+        )
         self._pacers: dict[str, store_pacing.StorePacer] = {}
 
     async def load(self, asker: str) -> None:
@@ -832,16 +838,16 @@
 
     async def ask(self, request):
         self.asks_count += 1
-        return self.desk.ask(request)
+        return self.issuer.ask(request)
 
-    async def give_back(self, message):
-        self.desk.give_back(message.permit_id)
+    async def release(self, message):
+        self.issuer.release(message.permit_id)
 
     def sidecar_count(self):
         return len(self._pacers)
 
     def _notify(self, asker, grant):
-        self._pacers[asker].on_grant(grant)
+        self._pacers[asker].apply_grant(grant)
 
 
 async def _drain(count: int) -> tuple[float, float]:
@@ -872,15 +878,15 @@
     )
 
 
-def _desk(count: int) -> store_pacing.PermitDesk:
-    desk = store_pacing.PermitDesk(
+def _issuer(count: int) -> store_pacing.PermitIssuer:
+    issuer = store_pacing.PermitIssuer(
         clock_module.SystemClock(),
         settings.StoreSettings(),
         lambda asker, grant: None,
     )
     for number in range(count):
-        desk.ask(_permit(number))
-    return desk
+        issuer.ask(_permit(number))
+    return issuer
 
 
 def show_messages() -> None:
@@ -905,7 +911,7 @@
         'a vote': (vote, voter.VoteReply(verdict=voter.Verdict.GRANTED)),
         'a question to a home': (_question(names[:2]), placed),
         'one that tells of parked ones': (
-            _question(names[:2], directory.standing(names[0])),
+            _question(names[:2], directory.retention_priority(names[0])),
             placed,
         ),
         'one that names 6 more': (_question(names), placed),
--- a/benchmarks/capacity_platform.py
+++ b/benchmarks/capacity_platform.py
@@ -82,8 +82,8 @@
         clock_module.SystemClock(), settings.ObjectiveSettings(stall_weight=1)
     )
     for server in make_servers(count):
-        found.learn_listed(server.name, server.adapters)
-        found.learn_hint(server.name, _hint(server))
+        found.apply_listed_adapters(server.name, server.adapters)
+        found.apply_hint(server.name, _hint(server))
     return found
 
 
@@ -94,7 +94,7 @@
         max_running=32,
         load_wait_ms=300,
         spare_slots=5,
-        adapters=hint_module.join_fingerprints(server.adapters),
+        adapters=hint_module.encode_fingerprints(server.adapters),
     )
 
 
@@ -129,7 +129,7 @@
         held.append(slopes.held_bytes(make_placement, count))
         found = make_placement(count)
         instances = make_instances(count)
-        found.candidates(keys[0], instances)
+        found.ranked_instances(keys[0], instances)
         choose = functools.partial(_choose, found, instances)
         chosen.append(slopes.least_us(_KEYS, slopes.for_each, choose, keys))
         servers = make_servers(count)
@@ -146,8 +146,8 @@
     instances: tuple[live_list.Instance, ...],
     key: str,
 ) -> None:
-    name = found.candidates(key, instances)[0].name
-    with found.sent(key, name):
+    name = found.ranked_instances(key, instances)[0].name
+    with found.track_request(key, name):
         pass
 
 
@@ -155,7 +155,7 @@
     found: placement.Placement, servers: list[backend_list.BackendServer]
 ) -> None:
     for server in servers:
-        found.learn_listed(server.name, server.adapters)
+        found.apply_listed_adapters(server.name, server.adapters)
 
 
 def measure_state() -> list[slopes.Slope]:
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -69,20 +69,20 @@
 
 
 class DirectPermits:
-    """Way to the desk without a network; it takes a moment."""
+    """Way to the issuer without a network; it takes a moment."""
 
-    def __init__(self, desk, sidecar_count, network_s):
-        self._desk = desk
+    def __init__(self, issuer, sidecar_count, network_s):
+        self._issuer = issuer
         self._sidecar_count = sidecar_count
         self._network_s = network_s
 
     async def ask(self, request):
         await asyncio.sleep(self._network_s)
-        return self._desk.ask(request)
+        return self._issuer.ask(request)
 
-    async def give_back(self, message):
+    async def release(self, message):
         await asyncio.sleep(self._network_s)
-        self._desk.give_back(message.permit_id)
+        self._issuer.release(message.permit_id)
 
     def sidecar_count(self):
         return self._sidecar_count
@@ -218,7 +218,7 @@
     def read_report(self, asked_at_s):
         if self.is_empty:
             self.is_empty = False
-            self.slots.forget_all()
+            self.slots.clear_and_reload()
         if isinstance(self.slots, slots_module.AdapterSlots):
             self.slots.adopt(sorted(self.engine.held))
             self.slots.release_adopted(
@@ -233,8 +233,8 @@
                 queued=self.turns.queued,
                 max_running=self.engine.max_running,
                 load_wait_ms=int(expected_s * 1000),
-                spare_slots=getattr(self.slots, 'spare_count', 0),
-                adapters=hint_module.join_fingerprints(self.slots.adapters),
+                spare_slots=getattr(self.slots, 'spare_slot_count', 0),
+                adapters=hint_module.encode_fingerprints(self.slots.adapters),
             )
         )
 
@@ -277,7 +277,7 @@
         return self._result()
 
     def _make_machines(self):
-        desk = self._make_desk()
+        issuer = self._make_issuer()
         total = sum(self.site.engines)
         machines = []
         for pool, count in enumerate(self.site.engines):
@@ -286,25 +286,25 @@
                 engine = policy_machines.BenchEngine(
                     self.store, self.site.slot_count, self.site.max_running
                 )
-                slots = self._make_slots(name, engine, desk, total)
+                slots = self._make_slots(name, engine, issuer, total)
                 turns = self._make_turns(engine, slots)
                 machines.append(Machine(name, pool, engine, slots, turns))
         return machines
 
-    def _make_desk(self):
+    def _make_issuer(self):
         self.pacers = {}
 
         def notify(asker, grant):
             asyncio.get_running_loop().call_later(
-                self.workload.network_s, self.pacers[asker].on_grant, grant
+                self.workload.network_s, self.pacers[asker].apply_grant, grant
             )
 
-        return store_pacing.PermitDesk(self.clock, self.site.store, notify)
+        return store_pacing.PermitIssuer(self.clock, self.site.store, notify)
 
-    def _make_slots(self, name, engine, desk, total):
+    def _make_slots(self, name, engine, issuer, total):
         if self.policy in BASELINES:
             return policy_baselines.LruSlots(engine, self.site.slot_count)
-        permits = DirectPermits(desk, total, self.workload.network_s)
+        permits = DirectPermits(issuer, total, self.workload.network_s)
         self.pacers[name] = store_pacing.StorePacer(
             self.clock, self.site.store, permits, name
         )
@@ -353,7 +353,7 @@
         ranked = await entry.locate(key, self.instances[request.pool])
         for instance in ranked[:MAX_ATTEMPTS]:
             machine = self.by_name[instance.name]
-            with entry.sent(key, instance.name):
+            with entry.track_request(key, instance.name):
                 await asyncio.sleep(self.workload.network_s)
                 if await self._attempt(request, entry, key, machine):
                     return
@@ -372,12 +372,12 @@
             async with machine.turns.turn(key, order) as stall_s:
                 self.stalls_s[request.number] = earlier_s + stall_s
                 self.waits_s[request.number] = loop.time() - request.at_s
-                entry.learn(machine.instance.name, machine.hint())
+                entry.apply_hint_header(machine.instance.name, machine.hint())
                 await machine.engine.run(key, request.tokens)
         except errors.RefusalError:
             return False
         except errors.PlatformError:
-            machine.slots.forget(key)
+            machine.slots.remove(key)
             return False
         return True
 
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -52,10 +52,10 @@
             slot[0] -= 1
             self._freed.set()
 
-    def forget(self, name):
+    def remove(self, name):
         self._held.pop(name, None)
 
-    def forget_all(self):
+    def clear_and_reload(self):
         self._generation += 1
         self._held.clear()
 
@@ -110,13 +110,13 @@
     """A placement that learns nothing."""
 
     async def locate(self, key, instances):
-        return self.candidates(key, instances)
+        return self.ranked_instances(key, instances)
 
     @contextlib.contextmanager
-    def sent(self, _key, _instance):
+    def track_request(self, _key, _instance):
         yield
 
-    def learn(self, _instance, _header):
+    def apply_hint_header(self, _instance, _header):
         pass
 
 
@@ -124,13 +124,13 @@
     def __init__(self, seed):
         self._random = random.Random(seed)
 
-    def candidates(self, _key, instances):
+    def ranked_instances(self, _key, instances):
         return self._random.sample(instances, len(instances))
 
 
 class HashPlacement(_Chooser):
-    def candidates(self, key, instances):
-        return placement.rank(key, instances)
+    def ranked_instances(self, key, instances):
+        return placement.rank_by_hash(key, instances)
 
 
 class LeastLoaded(_Chooser):
@@ -139,11 +139,11 @@
     def __init__(self):
         self._loads = collections.Counter()
 
-    def candidates(self, _key, instances):
+    def ranked_instances(self, _key, instances):
         return sorted(instances, key=lambda i: self._loads[i.name])
 
     @contextlib.contextmanager
-    def sent(self, _key, instance):
+    def track_request(self, _key, instance):
         self._loads[instance] += 1
         try:
             yield
--- a/lacewingpitch/account_holders.py
+++ b/lacewingpitch/account_holders.py
@@ -19,7 +19,7 @@
     """
     near = [entry for entry in others if entry.region == region]
     pool = near if len(near) >= COPY_COUNT else others
-    ranked = placement.rank(f'account/{account_id.instance}', pool)
+    ranked = placement.rank_by_hash(f'account/{account_id.instance}', pool)
     taken_zones = {account_id.availability_zone}
     chosen: list[live_list.Instance] = []
     for entry in ranked:
--- a/lacewingpitch/adapter_holders.py
+++ b/lacewingpitch/adapter_holders.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Iterator
 import contextlib
 
+from lacewingpitch import cached_copies
 from lacewingpitch import hint as hint_module
-from lacewingpitch import kept_copies
 
 
 class AdapterHolders:
@@ -18,7 +18,9 @@
         where they keep none.
     """
 
-    def __init__(self, copies: kept_copies.KeptCopies | None = None) -> None:
+    def __init__(
+        self, copies: cached_copies.CachedCopies | None = None
+    ) -> None:
         self._copies = copies
         # By what sidecars told on their answers.
         self._told: dict[bytes, set[str]] = {}
@@ -48,7 +50,7 @@
         return self._copies.names(hint_module.fingerprint(key))
 
     @contextlib.contextmanager
-    def sent(self, key: str, instance: str) -> Iterator[None]:
+    def track_request(self, key: str, instance: str) -> Iterator[None]:
         """Count a request as on its way while the context is open."""
         self._targets.setdefault(key, collections.Counter())[instance] += 1
         try:
@@ -56,7 +58,7 @@
         finally:
             self._forget_target(key, instance)
 
-    def learn_hint(self, instance: str, hint: hint_module.Hint) -> None:
+    def apply_hint(self, instance: str, hint: hint_module.Hint) -> None:
         """Take over what a sidecar told."""
         for adapter in hint.fingerprints:
             self._told.setdefault(adapter, set()).add(instance)
@@ -70,7 +72,9 @@
         if self._copies is not None:
             self._copies.note(instance, hint.fingerprints)
 
-    def learn_listed(self, instance: str, keys: Iterable[str]) -> None:
+    def apply_listed_adapters(
+        self, instance: str, keys: Iterable[str]
+    ) -> None:
         """Take over what the published list says that one holds."""
         found = frozenset(map(hint_module.fingerprint, keys))
         before = self._listed.get(instance, frozenset())
@@ -82,7 +86,7 @@
             self._copies.note(instance, before - found)
         self._listed[instance] = found
 
-    def forget(self, instance: str) -> None:
+    def reset_instance(self, instance: str) -> None:
         """Forget what the list said of one, and its copies."""
         for adapter in self._listed.pop(instance, ()):
             _drop(self._listed_names, adapter, instance)
@@ -92,7 +96,7 @@
     def retain(self, names: set[str]) -> None:
         """Forget engines that are listed no more."""
         for name in self._listed.keys() - names:
-            self.forget(name)
+            self.reset_instance(name)
 
     def _forget_target(self, key: str, instance: str) -> None:
         targets = self._targets[key]
--- a/lacewingpitch/adapter_homes.py
+++ b/lacewingpitch/adapter_homes.py
@@ -15,7 +15,7 @@
 from lacewingpitch import directory
 from lacewingpitch import errors
 from lacewingpitch import live_list
-from lacewingpitch import weighing
+from lacewingpitch import placement_costs
 
 # Recent requests from which an adapter counts as hot.
 _HOT_COUNT = 8.0
@@ -70,7 +70,7 @@
     async def assigned(
         self,
         key: str,
-        estimates: weighing.WaitEstimates,
+        costs: placement_costs.PlacementCosts,
         home: live_list.Instance,
         ranked: Sequence[live_list.Instance],
     ) -> tuple[str, ...]:
@@ -84,15 +84,15 @@
         ranked
             The engines in this entry's order of preference, best first.
         """
-        active_count = estimates.pool.active_count
-        assigned, age_s = self._last_assignment(key, estimates)
+        active_count = costs.pool.active_count
+        assigned, age_s = self._last_assignment(key, costs)
         wanted = self._wanted_count(key, assigned)
         if age_s < _FRESH_S:
             if len(assigned) >= wanted:
                 return assigned
         else:
             likely = assigned if age_s < _MAX_AGE_S else ()
-            held = self._active_holders(key, estimates, likely)
+            held = self._active_holders(key, costs, likely)
             if held and len(held) >= self._wanted_count(key, held):
                 return held
         request = directory.LocateRequest(
@@ -101,25 +101,25 @@
             proposals=tuple(
                 i.name for i in ranked[: min(wanted + 1, active_count)]
             ),
-            parked_below=estimates.parked_below,
+            parked_below=costs.parked_below,
         )
         return await self._ask(home, request) or assigned
 
     def _last_assignment(
-        self, key: str, estimates: weighing.WaitEstimates
+        self, key: str, costs: placement_costs.PlacementCosts
     ) -> tuple[tuple[str, ...], float]:
         """Return the listed engines of the last assignment, and its age."""
         known = self._assignments.get(key)
         if known is None:
             return (), math.inf
-        listed = estimates.column_by_name
+        listed = costs.column_by_name
         names = tuple(name for name in known.names if name in listed)
         return names, self._clock.monotonic_s() - known.received_at_s
 
     def _active_holders(
         self,
         key: str,
-        estimates: weighing.WaitEstimates,
+        costs: placement_costs.PlacementCosts,
         likely: tuple[str, ...],
     ) -> tuple[str, ...]:
         """Return the active engines that hold an adapter.
@@ -131,8 +131,8 @@
         # this entry instance would park are left out, because each
         # request renews their hint and they would never be vacated; for
         # these, the home must be asked.
-        active = estimates.active()
-        columns = estimates.column_by_name
+        active = costs.active()
+        columns = costs.column_by_name
         holders = self._holders.names(key)
         held = tuple(name for name in holders if columns.get(name) in active)
         return tuple(name for name in held if name in likely) or held
@@ -160,7 +160,7 @@
     def _wanted_count(self, key: str, names: tuple[str, ...]) -> int:
         """Return how many engines the adapter needs, by its demand."""
         count = max(1, len(names))
-        is_hot = self._demand.value(key) >= _HOT_COUNT
+        is_hot = self._demand.count(key) >= _HOT_COUNT
         if not names or not is_hot:
             return count
         full = all(self._fill_ratio(name) >= _FULL_RATIO for name in names)
--- a/lacewingpitch/adapter_versions.py
+++ b/lacewingpitch/adapter_versions.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self._versions: dict[tuple[str, str], int] = {}
 
-    def note(self, model: str, adapter: str, version: int) -> bool:
+    def record(self, model: str, adapter: str, version: int) -> bool:
         """Take note of a version; return whether it is news."""
         key = (model, adapter)
         if version <= self._versions.get(key, 0):
@@ -47,7 +47,7 @@
             for (model, adapter), version in self._versions.items()
         )
 
-    def wanted(self, model: str, adapter: str) -> int:
+    def required_version(self, model: str, adapter: str) -> int:
         """Return the version to run on; 0 if any will do."""
         return self._versions.get((model, adapter), 0)
 
--- a/lacewingpitch/batch_forecast.py
+++ b/lacewingpitch/batch_forecast.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Mapping
 
 from lacewingpitch import clock as clock_module
-from lacewingpitch import place_forecast
+from lacewingpitch import slot_simulation
 from lacewingpitch import turn_lease
 
 
@@ -49,10 +49,10 @@
         """
         if len(self._leases) < self._turn_count:
             return 0.0
-        forecast = place_forecast.PlaceForecast(self._free_in_s(), 1)
+        forecast = slot_simulation.SlotSimulation(self._free_in_s(), 1)
         for lease in self._ahead(prepared_in_s, flow, weight):
-            forecast.take(place_forecast.Occupancy(0.0, lease.run_s))
-        begin_s = forecast.take(place_forecast.Occupancy(0.0)).place_s
+            forecast.assign_next(slot_simulation.Occupancy(0.0, lease.run_s))
+        begin_s = forecast.assign_next(slot_simulation.Occupancy(0.0)).slot_s
         return max(0.0, begin_s - prepared_in_s)
 
     def _free_in_s(self) -> list[float]:
--- a/lacewingpitch/kept_copies.py
+++ b/lacewingpitch/cached_copies.py
@@ -6,7 +6,7 @@
 _FIRST_COPY_COUNT = 8
 
 
-class KeptCopies:
+class CachedCopies:
     """What each engine held of late, and holds no more.
 
     Load it answers: more adapters in use than engines have places for.
--- a/lacewingpitch/carrier.py
+++ b/lacewingpitch/carrier.py
@@ -177,7 +177,9 @@
             service=services[0],
             model=request.model,
             adapter=request.adapter,
-            version=self._versions.wanted(request.model, request.adapter),
+            version=self._versions.required_version(
+                request.model, request.adapter
+            ),
             route=request.route.name,
             rank=request.rank,
             prompt_tokens=request.prompt_tokens,
--- a/lacewingpitch/contract_gossip.py
+++ b/lacewingpitch/contract_gossip.py
@@ -245,7 +245,9 @@
             and (instance.region, instance.availability_zone)
             == (own.region, own.availability_zone)
         ]
-        elected = placement.rank(_WATCH_KEY, same_zone)[:WATCHERS_PER_ZONE]
+        elected = placement.rank_by_hash(_WATCH_KEY, same_zone)[
+            :WATCHERS_PER_ZONE
+        ]
         return own in elected
 
     @property
--- a/lacewingpitch/demand.py
+++ b/lacewingpitch/demand.py
@@ -33,7 +33,7 @@
 
     def add(self, key: str) -> None:
         """Count one more request for `key`."""
-        count = self.value(key) + 1.0
+        count = self.count(key) + 1.0
         self._counts[key] = (count, self._clock.monotonic_s())
         self._counts.move_to_end(key)
         if len(self._counts) > self._capacity_keys:
@@ -41,9 +41,9 @@
 
     def rate_per_s(self, key: str) -> float:
         """Return how often `key` is asked for, as of late."""
-        return self.value(key) * math.log(2.0) / self._half_life_s
+        return self.count(key) * math.log(2.0) / self._half_life_s
 
-    def value(self, key: str) -> float:
+    def count(self, key: str) -> float:
         """Return the faded count of `key`."""
         found = self._counts.get(key)
         if found is None:
--- a/lacewingpitch/directory.py
+++ b/lacewingpitch/directory.py
@@ -28,7 +28,7 @@
 _ASK_TIMEOUT_S = 0.25
 
 
-def standing(instance: str) -> int:
+def retention_priority(instance: str) -> int:
     """Return a number by which the lowest fall out of use first.
 
     It is the same at every process, whatever its list of instances.
@@ -121,7 +121,7 @@
             instances=tuple(place.instance for place in known.places)
         )
 
-    def forget_instances(self, listed: frozenset[str]) -> None:
+    def retain_instances(self, listed: frozenset[str]) -> None:
         """Drop places on backend servers that are listed no more."""
         for known in self._known.values():
             known.places = [p for p in known.places if p.instance in listed]
@@ -142,7 +142,7 @@
         known.places = [
             place
             for place in known.places
-            if standing(place.instance) >= parked_below
+            if retention_priority(place.instance) >= parked_below
             or now_s - place.since_s < _STAY_S
         ]
 
@@ -175,7 +175,7 @@
     """Answer the questions that reach this process as a home."""
     control.handle(LocateRequest, directory.locate)
     changes.subscribe(
-        lambda published: directory.forget_instances(
+        lambda published: directory.retain_instances(
             frozenset(instance.name for instance in published.instances)
         )
     )
--- a/lacewingpitch/dispatch.py
+++ b/lacewingpitch/dispatch.py
@@ -127,7 +127,7 @@
     ) -> list[live_list.Instance]:
         adapter = order.adapter
         if adapter is None:
-            found = self._placement.candidates(
+            found = self._placement.ranked_instances(
                 order.request_id, self._membership.sidecars(order.service)
             )
         else:
@@ -145,7 +145,9 @@
         with contextlib.ExitStack() as held:
             held.callback(self.ejector.ended, name)
             held.enter_context(
-                self._placement.sent(_placement_key(attempt.order), name)
+                self._placement.track_request(
+                    _placement_key(attempt.order), name
+                )
             )
             try:
                 response = await self._link.run(attempt)
--- a/lacewingpitch/engine_hint.py
+++ b/lacewingpitch/engine_hint.py
@@ -24,15 +24,15 @@
     def now(self) -> hint_module.Hint:
         """Return the state of the engine."""
         missing = self._adapters.expected_wait()
-        copy_wait_s = missing.place_s + self._adapters.copy_load_s
+        copy_wait_s = missing.slot_s + self._adapters.cached_copy_load_s
         return hint_module.Hint(
             running=self._queue.running,
             queued=self._queue.queued,
             max_running=max(1, self._queue.turn_count),
             load_wait_ms=int(missing.total_s * _MS_PER_S),
-            spare_slots=self._adapters.spare_count,
-            adapters=hint_module.join_fingerprints(self._adapters.adapters),
+            spare_slots=self._adapters.spare_slot_count,
+            adapters=hint_module.encode_fingerprints(self._adapters.adapters),
             turn_wait_ms=int(self._pacer.wait_s() * _MS_PER_S),
             copy_wait_ms=int(copy_wait_s * _MS_PER_S),
-            copy_count=self._adapters.copy_count,
+            copy_count=self._adapters.cached_copy_count,
         )
--- a/lacewingpitch/engine_keeper.py
+++ b/lacewingpitch/engine_keeper.py
@@ -222,7 +222,7 @@
             # Before the loads in flight hear that the engine is gone: they
             # would count as failures of their adapters, which nobody then
             # gets for a second.
-            self._adapters.drop_all()
+            self._adapters.clear()
         self.view.attach(incarnation, snapshot.started_at_ms)
         self._adopted_runs = frozenset()
         if self.desk is not None:
@@ -288,10 +288,10 @@
             self._fence,
             self._clock,
             stall_weight=1.0,
-            max_loading=_MAX_LOADING,
-            max_under_way=_MAX_LOADING,
-            report_lag_s=_OWN_REPORT_LAG_S,
-            first_load_s=_FIRST_LOAD_S,
+            max_pending_permits=_MAX_LOADING,
+            max_concurrent_loads=_MAX_LOADING,
+            max_report_lag_s=_OWN_REPORT_LAG_S,
+            initial_load_s=_FIRST_LOAD_S,
         )
         adapters = self._adapters
         queue = turn_queue.TurnQueue(
@@ -379,11 +379,11 @@
         }
         for name in adapters.adapters:
             if name not in held and self.view.is_shown(name):
-                adapters.forget(name)
+                adapters.remove(name)
         unknown = [
             name
             for name in held
-            if not adapters.knows(name) and self.view.is_shown(name)
+            if not adapters.has_slot(name) and self.view.is_shown(name)
         ]
         if unknown:
             self._adopted_runs |= snapshot.run_ids
@@ -395,7 +395,7 @@
     def _name_of(self, key: str, version: int) -> str:
         """Return the slot name of an adapter that the engine holds."""
         model, _, adapter = key.partition('/')
-        wanted = self._versions.wanted(model, adapter)
+        wanted = self._versions.required_version(model, adapter)
         if version < wanted:
             wanted = 0
         return adapter_versions.slot_name(model, adapter, wanted)
--- a/lacewingpitch/engine_pools.py
+++ b/lacewingpitch/engine_pools.py
@@ -5,8 +5,8 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import live_list
+from lacewingpitch import placement_costs
 from lacewingpitch import settings as settings_module
-from lacewingpitch import weighing
 
 _LOAD_SMOOTHING_S = 10.0
 _SHRINK_INTERVAL_S = 5.0
@@ -27,9 +27,11 @@
     ) -> None:
         self._clock = clock
         self._objective = objective
-        self._pools: dict[frozenset[str], weighing.Pool] = {}
+        self._pools: dict[frozenset[str], placement_costs.Pool] = {}
 
-    def of(self, instances: Sequence[live_list.Instance]) -> weighing.Pool:
+    def of(
+        self, instances: Sequence[live_list.Instance]
+    ) -> placement_costs.Pool:
         """Return the pool of a set of engines; create it if needed."""
         names = frozenset(instance.name for instance in instances)
         pool = self._pools.get(names)
@@ -37,12 +39,12 @@
             if len(self._pools) >= _MAX_POOLS:
                 self._pools.clear()
             now_s = self._clock.monotonic_s()
-            pool = self._pools[names] = weighing.Pool(
+            pool = self._pools[names] = placement_costs.Pool(
                 len(instances), now_s, now_s
             )
         return pool
 
-    def set_active_count(self, estimates: weighing.WaitEstimates) -> None:
+    def set_active_count(self, costs: placement_costs.PlacementCosts) -> None:
         """Adjust the number of active engines of a pool to its load.
 
         A pool grows at once, and shrinks by one engine per interval.
@@ -52,10 +54,10 @@
         if fill_ratio <= 0.0:
             return
         now_s = self._clock.monotonic_s()
-        pool = estimates.pool
-        needed = self._needed_count(estimates, fill_ratio, now_s)
+        pool = costs.pool
+        needed = self._needed_count(costs, fill_ratio, now_s)
         if needed >= pool.active_count:
-            pool.active_count = min(needed, len(estimates))
+            pool.active_count = min(needed, len(costs))
             pool.surplus_since_s = now_s
         elif now_s - pool.surplus_since_s >= _SHRINK_INTERVAL_S:
             # Parking is slow because the adapters of a parked engine
@@ -65,24 +67,24 @@
 
     def _needed_count(
         self,
-        estimates: weighing.WaitEstimates,
+        costs: placement_costs.PlacementCosts,
         fill_ratio: float,
         now_s: float,
     ) -> int:
-        pool = estimates.pool
-        load = float(estimates.total_load())
+        pool = costs.pool
+        load = float(costs.total_load())
         kept_ratio = math.exp(
             -(now_s - pool.load_updated_at_s) / _LOAD_SMOOTHING_S
         )
         pool.smoothed_load = load + (pool.smoothed_load - load) * kept_ratio
         pool.load_updated_at_s = now_s
-        capacity = estimates.mean_capacity()
+        capacity = costs.mean_capacity()
         needed = max(
             1, math.ceil(pool.smoothed_load / (fill_ratio * capacity))
         )
         are_loads_slow = (
             needed <= pool.active_count
-            and estimates.is_mean_load_wait_above(self._max_load_wait_s)
+            and costs.is_mean_load_wait_above(self._max_load_wait_s)
         )
         return pool.active_count + 1 if are_loads_slow else needed
 
--- a/lacewingpitch/engine_runner.py
+++ b/lacewingpitch/engine_runner.py
@@ -144,7 +144,7 @@
             await self._cancel(call.run_id)
             raise
         except engine_module.AdapterMissingError as error:
-            self._slots.forget(call.adapter.engine_name)
+            self._slots.remove(call.adapter.engine_name)
             raise _unavailable(error) from error
         except (
             engine_module.NotSentError,
@@ -196,7 +196,7 @@
             body=body,
             stream=order.stream,
             urgency=order.urgency,
-            fencing=self._fence.number,
+            fencing=self._fence.token,
         )
 
     def _headers(self, call: engine_module.EngineCall) -> dict[str, str]:
@@ -206,8 +206,8 @@
             queued=self._queue.queued,
             max_running=self._max_running,
             load_wait_ms=int(self._slots.expected_wait_s() * _MS_PER_S),
-            spare_slots=self._slots.spare_count,
-            adapters=hint_module.join_fingerprints(self._slots.adapters),
+            spare_slots=self._slots.spare_slot_count,
+            adapters=hint_module.encode_fingerprints(self._slots.adapters),
         )
         return {
             work.LOAD_STALL_HEADER: f'{stall_s:.3f}',
@@ -279,9 +279,9 @@
     async def _read_report(self) -> None:
         asked_at_s = self._clock.monotonic_s()
         report = await self._engine.report()
-        if self._fence.renew(report):
-            self._slots.forget_all()
-        self._slots.limit(report.adapter_slots)
+        if self._fence.apply_report(report):
+            self._slots.clear_and_reload()
+        self._slots.limit_slot_count(report.adapter_slots)
         self._slots.adopt(report.adapters)
         self._slots.release_adopted(
             asked_at_s, lambda name: not report.running_on(name)
--- a/lacewingpitch/engine_view.py
+++ b/lacewingpitch/engine_view.py
@@ -147,7 +147,7 @@
         The asker and this process may each know of a version that the
         other has not heard of yet.
         """
-        wanted = max(version, self._versions.wanted(model, adapter))
+        wanted = max(version, self._versions.required_version(model, adapter))
         return adapter_versions.slot_name(model, adapter, wanted)
 
     def held_version(self, slot_name: str) -> int:
@@ -184,7 +184,7 @@
         self._snapshot = None
         self._empty_since_s = None
         self._open_orders.restart()
-        self._fence.renew(
+        self._fence.apply_report(
             engine_module.EngineReport(
                 incarnation=f'{incarnation}/{self._start_count}', base_model=''
             )
@@ -212,10 +212,10 @@
     async def load_model(self, model: str) -> engine_orders.OrderResult:
         """Order the engine to load a model, and do not wait for it."""
         result = await self._orders.load_model(
-            model, self._fence.number, self.backend_server
+            model, self._fence.token, self.backend_server
         )
         if result is engine_orders.OrderResult.FENCED:
-            self._fence.refused()
+            self._fence.raise_token()
         return result
 
     async def load_adapter(self, name: str, fencing: int) -> None:
@@ -262,7 +262,7 @@
         incarnation, start = self.backend_server, self._start_count
         for _ in range(_ORDER_TRIES):
             result = await self._orders.unload(
-                model, adapter, self._fence.number, incarnation
+                model, adapter, self._fence.token, incarnation
             )
             # What the last start answered says nothing about this one,
             # which may hold the adapter.
@@ -286,7 +286,7 @@
         try:
             while True:
                 result = await self._orders.load(
-                    model, adapter, version, self._fence.number, incarnation
+                    model, adapter, version, self._fence.token, incarnation
                 )
                 if result in (
                     engine_orders.OrderResult.ACCEPTED,
@@ -326,8 +326,8 @@
 
     async def _prepare_again(self, result: engine_orders.OrderResult) -> None:
         if result is engine_orders.OrderResult.FENCED:
-            self._fence.refused()
-            log.info('fencing number raised', number=self._fence.number)
+            self._fence.raise_token()
+            log.info('fencing number raised', number=self._fence.token)
             return
         if result is engine_orders.OrderResult.BUSY:
             await asyncio.sleep(_ORDER_PAUSE_S)
--- a/lacewingpitch/expected_wait.py
+++ b/lacewingpitch/expected_wait.py
@@ -4,8 +4,8 @@
 from typing import Protocol
 
 from lacewingpitch import grant
-from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
+from lacewingpitch import slot_simulation
 
 # What is expected until a place is free is a mean; runs last longer and
 # shorter by chance.  Counted so many times, most of those that are let in
@@ -16,7 +16,7 @@
 class AdapterPlaces(Protocol):
     """The places for adapters of an engine."""
 
-    def expected_wait(self, name: str = '') -> place_forecast.AdapterWait:
+    def expected_wait(self, name: str = '') -> slot_simulation.AdapterWait:
         """Return what a request for an adapter would wait now."""
         ...
 
@@ -96,10 +96,10 @@
         name
             Slot name of its adapter; empty for the base model alone.
         """
-        found = place_forecast.AdapterWait()
+        found = slot_simulation.AdapterWait()
         if name:
             found = self._adapters.expected_wait(name)
-        place_s = _CAUTION * found.place_s
+        place_s = _CAUTION * found.slot_s
         turn_s = self._batch.wait_s(
             found.total_s, request.flow, request.weight
         )
--- a/lacewingpitch/fence.py
+++ b/lacewingpitch/fence.py
@@ -18,11 +18,11 @@
 
     def __init__(self, clock: clock_module.Clock) -> None:
         self._clock = clock
-        self.number = 0
+        self.token = 0
         self.incarnation = ''
         self._was_accepted = False
 
-    def renew(self, report: engine.EngineReport) -> bool:
+    def apply_report(self, report: engine.EngineReport) -> bool:
         """Take a number for a new incarnation of the engine.
 
         Returns
@@ -35,30 +35,30 @@
             return False
         self.incarnation = report.incarnation
         self._was_accepted = False
-        self.number = max(
+        self.token = max(
             report.last_fencing + 1,
             int(self._clock.wall_s() * _MS_PER_S),
-            self.number,
+            self.token,
         )
         return True
 
-    def accepted(self) -> None:
+    def mark_accepted(self) -> None:
         """Record that the engine has taken an order with this number."""
         self._was_accepted = True
 
-    def refused(self) -> None:
+    def raise_token(self) -> None:
         """Rise above a higher number that the engine has taken.
 
         The engine does not say which.  An earlier sidecar of this place
         took its number from a clock that was ahead; it is gone, as its
         port was free, so that going higher fences off nobody else.
         """
-        self.number += _CLOCK_AHEAD_MS
+        self.token += _CLOCK_AHEAD_MS
 
     def _overtake(self, last_fencing: int) -> None:
         # The first report may lag, and this clock may be behind that of
         # an earlier sidecar: the first order is then fenced off, and the
         # number has to rise.  Once the engine has taken an order of
         # ours, a higher number is that of a successor, which must win.
-        if not self._was_accepted and last_fencing > self.number:
-            self.number = last_fencing + 1
+        if not self._was_accepted and last_fencing > self.token:
+            self.token = last_fencing + 1
--- a/lacewingpitch/hint.py
+++ b/lacewingpitch/hint.py
@@ -71,7 +71,7 @@
     return xxhash.xxh32_digest(engine_name.encode())
 
 
-def join_fingerprints(engine_names: Iterable[str]) -> bytes:
+def encode_fingerprints(engine_names: Iterable[str]) -> bytes:
     """Return the compact form of a set of adapters."""
     return b''.join(fingerprint(name) for name in sorted(engine_names))
 
--- a/lacewingpitch/placed_instances.py
+++ b/lacewingpitch/listed_instances.py
@@ -8,7 +8,7 @@
 from lacewingpitch import placement as placement_module
 
 
-class PlacedInstances:
+class ListedInstances:
     """Keeps placement informed of the published list.
 
     Placement knows a list by its identity, so that one which is the same
@@ -55,7 +55,7 @@
         known = {server.name: server.adapters for server in before}
         for server in servers:
             if known.get(server.name) is not server.adapters:
-                self._placement.learn_listed(
+                self._placement.apply_listed_adapters(
                     server.name, _slot_names(server.adapters)
                 )
 
--- a/lacewingpitch/load_pacer.py
+++ b/lacewingpitch/load_pacer.py
@@ -21,7 +21,7 @@
         ...
 
 
-class UnpacedLoads:
+class UnlimitedLoads:
     """Lets every load start at once."""
 
     def permit(
--- a/lacewingpitch/peer_state.py
+++ b/lacewingpitch/peer_state.py
@@ -196,6 +196,6 @@
             log.error('state rejected', peer=peer.ip, error=str(error))
             return False
         for found in reply.versions:
-            self._versions.note(found.model, found.adapter, found.version)
+            self._versions.record(found.model, found.adapter, found.version)
         self._has_reply = True
         return True
--- a/lacewingpitch/placement.py
+++ b/lacewingpitch/placement.py
@@ -8,16 +8,16 @@
 
 from lacewingpitch import adapter_holders
 from lacewingpitch import adapter_homes
+from lacewingpitch import cached_copies as cached_copies_module
 from lacewingpitch import clock as clock_module
 from lacewingpitch import demand
 from lacewingpitch import directory
 from lacewingpitch import engine_pools
 from lacewingpitch import hint as hint_module
-from lacewingpitch import kept_copies
 from lacewingpitch import live_list
+from lacewingpitch import placement_costs
 from lacewingpitch import rendezvous
 from lacewingpitch import settings as settings_module
-from lacewingpitch import weighing
 
 # Hints older than this are dropped.
 HINT_AGE_S = 30.0
@@ -34,10 +34,10 @@
 _MAX_RANK_PENALTY_S = 0.5
 # How many holders of an adapter may rank before the first non-holder.
 _MAX_LEADING_HOLDERS = 2
-_MAX_CACHED_ESTIMATES = 64
+_MAX_CACHED_COSTS = 64
 
 
-def rank(
+def rank_by_hash(
     key: str, instances: Sequence[live_list.Instance]
 ) -> list[live_list.Instance]:
     """Return instances by rendezvous hash, the same in every process."""
@@ -48,7 +48,7 @@
     )
 
 
-def bucket(key: str, count: int) -> int:
+def hash_bucket(key: str, count: int) -> int:
     """Return a hash below `count`, the same in every process."""
     return xxhash.xxh3_64_intdigest(key.encode()) % count
 
@@ -67,13 +67,13 @@
     homes
         Queries the homes of adapters; without it, an adapter that no
         engine holds is placed on its home.
-    squeeze_s
+    no_spare_slot_penalty_s
         Penalty for a load where no slot is spare, in addition to the
         expected wait.  Zero if the reported wait for a load already
         includes the wait for a slot.
-    load_age_s
+    load_max_age_s
         How long the load that a hint reports is used.
-    copies
+    cached_copies
         Where engines cache copies of adapters that they evicted;
         ``None`` if they cache none.
     instance
@@ -86,22 +86,22 @@
         clock: clock_module.Clock,
         objective: settings_module.ObjectiveSettings | None = None,
         homes: directory.DirectoryLink | None = None,
-        squeeze_s: float = _NO_SPARE_SLOT_PENALTY_S,
-        load_age_s: float = HINT_AGE_S,
-        copies: kept_copies.KeptCopies | None = None,
+        no_spare_slot_penalty_s: float = _NO_SPARE_SLOT_PENALTY_S,
+        load_max_age_s: float = HINT_AGE_S,
+        cached_copies: cached_copies_module.CachedCopies | None = None,
         instance: str = '',
     ) -> None:
         self._clock = clock
-        self._load_age_s = load_age_s
+        self._load_max_age_s = load_max_age_s
         self._instance = instance
-        self._squeeze_s = squeeze_s
+        self._no_spare_slot_penalty_s = no_spare_slot_penalty_s
         objective = objective or settings_module.ObjectiveSettings()
         # With a stall weight above one half, the emptier of two equal
         # backend servers is preferred; below it the fuller one, whose
         # batches are then used better.
         self._fill_cost_s = _FILL_COST_S * (2.0 * objective.stall_weight - 1.0)
         self._demand = demand.DecayedCounts(clock, _DEMAND_HALF_LIFE_S)
-        self._holders = adapter_holders.AdapterHolders(copies)
+        self._holders = adapter_holders.AdapterHolders(cached_copies)
         self._pools = engine_pools.EnginePools(clock, objective)
         self._homes = None
         if homes is not None:
@@ -112,8 +112,8 @@
                 self._holders,
                 lambda name: self._state(name).fill_ratio,
             )
-        self._states: dict[str, weighing.BackendState] = {}
-        self._estimates: dict[int, weighing.WaitEstimates] = {}
+        self._states: dict[str, placement_costs.BackendState] = {}
+        self._costs: dict[int, placement_costs.PlacementCosts] = {}
         self._hint_received_at_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
@@ -131,48 +131,48 @@
         """
         if not instances:
             return []
-        estimates = self._estimates_of(instances)
-        ranked = self._ranked(key, estimates)
+        costs = self._costs_for(instances)
+        ranked = self._ranked(key, costs)
         if self._homes is None or len(instances) <= 1:
             return ranked
-        home = rank(key, ranked)[0]
-        names = await self._homes.assigned(key, estimates, home, ranked)
+        home = rank_by_hash(key, ranked)[0]
+        names = await self._homes.assigned(key, costs, home, ranked)
         assigned = [i for i in ranked if i.name in names]
         return assigned + [i for i in ranked if i.name not in names]
 
-    def candidates(
+    def ranked_instances(
         self, key: str, instances: Sequence[live_list.Instance]
     ) -> list[live_list.Instance]:
         """Return the instances, best first, without asking a home."""
         if not instances:
             return []
-        return self._ranked(key, self._estimates_of(instances))
+        return self._ranked(key, self._costs_for(instances))
 
     def _ranked(
-        self, key: str, estimates: weighing.WaitEstimates
+        self, key: str, costs: placement_costs.PlacementCosts
     ) -> list[live_list.Instance]:
-        active = estimates.active()
-        holders = frozenset(estimates.columns_of(self._holders.names(key)))
-        copies = estimates.columns_of(self._holders.names_with_copy(key))
-        waits_s = estimates.waits_s(holders, copies)
-        by_hash = estimates.columns_by_hash(key)
+        active = costs.active()
+        holders = frozenset(costs.columns_of(self._holders.names(key)))
+        copies = costs.columns_of(self._holders.names_with_copy(key))
+        waits_s = costs.waits_s(holders, copies)
+        by_hash = costs.columns_by_hash(key)
         if self._homes is None:
             known = holders.union(copies)
             _add_rank_penalties(waits_s, by_hash, known)
             if not known:
                 waits_s[by_hash[0]] -= _HOME_PREFERENCE_S
-            by_hash = self._shuffle_holders(key, estimates, by_hash, holders)
+            by_hash = self._shuffle_holders(key, costs, by_hash, holders)
         ranked = [column for column in by_hash if column in active]
         ranked.sort(key=waits_s.__getitem__)
         if self._homes is None:
             _promote_non_holder(ranked, holders)
         ranked += [column for column in by_hash if column not in active]
-        return [estimates.instances[column] for column in ranked]
+        return [costs.instances[column] for column in ranked]
 
     def _shuffle_holders(
         self,
         key: str,
-        estimates: weighing.WaitEstimates,
+        costs: placement_costs.PlacementCosts,
         by_hash: list[int],
         holders: Collection[int],
     ) -> list[int]:
@@ -183,12 +183,12 @@
         """
         if len(holders) <= 1:
             return by_hash
-        own = estimates.columns_by_hash(f'{self._instance}/{key}')
+        own = costs.columns_by_hash(f'{self._instance}/{key}')
         others = [column for column in by_hash if column not in holders]
         return [column for column in own if column in holders] + others
 
     @contextlib.contextmanager
-    def sent(self, key: str, instance: str) -> Iterator[None]:
+    def track_request(self, key: str, instance: str) -> Iterator[None]:
         """Count a request as in progress while the context is open."""
         state = self._state(instance)
         self._drop_old_hints()
@@ -198,24 +198,24 @@
         state.in_progress_count += 1
         self._mark_stale(state)
         try:
-            with self._holders.sent(key, instance):
+            with self._holders.track_request(key, instance):
                 yield
         finally:
             state.in_progress_count -= 1
             self._mark_stale(state)
 
-    def learn(self, instance: str, header: str) -> None:
+    def apply_hint_header(self, instance: str, header: str) -> None:
         """Apply the hint header of an answer; ignore an invalid one."""
         hint = hint_module.decode_hint(header)
         if hint is not None:
-            self.learn_hint(instance, hint)
+            self.apply_hint(instance, hint)
 
-    def learn_hint(self, instance: str, hint: hint_module.Hint) -> None:
+    def apply_hint(self, instance: str, hint: hint_module.Hint) -> None:
         """Apply a hint about a sidecar's engine."""
         state = self._state(instance)
         self._forget_hint(instance, state)
         state.hint = hint
-        self._holders.learn_hint(instance, hint)
+        self._holders.apply_hint(instance, hint)
         now_s = self._clock.monotonic_s()
         for received_at_s in (
             self._hint_received_at_s,
@@ -228,7 +228,9 @@
         state.loads_since_hint = 0
         self._mark_stale(state)
 
-    def learn_listed(self, instance: str, keys: Iterable[str]) -> None:
+    def apply_listed_adapters(
+        self, instance: str, keys: Iterable[str]
+    ) -> None:
         """Apply the adapters that an instance holds by the published list.
 
         In a large fleet, hints from each engine reach an entry instance
@@ -236,20 +238,20 @@
         loaded there.  An outdated list costs little, because an engine
         caches copies of adapters that it evicted recently.
         """
-        self._holders.learn_listed(instance, keys)
+        self._holders.apply_listed_adapters(instance, keys)
 
-    def forget(self, instance: str) -> None:
+    def reset_instance(self, instance: str) -> None:
         """Forget the state of an instance that restarted empty."""
         state = self._states.get(instance)
         if state is not None:
             self._forget_state(instance, state)
             self._mark_stale(state)
-        self._holders.forget(instance)
+        self._holders.reset_instance(instance)
 
     def retain(self, instances: Sequence[live_list.Instance]) -> None:
         """Forget the backend servers that are no longer listed."""
-        # The cached estimates belong to the previous list.
-        self._drop_estimates()
+        # The cached costs belong to the previous list.
+        self._drop_costs()
         names = {instance.name for instance in instances}
         for name in self._states.keys() - names:
             state = self._states[name]
@@ -258,21 +260,25 @@
                 del self._states[name]
         self._holders.retain(names)
 
-    def _forget_state(self, name: str, state: weighing.BackendState) -> None:
+    def _forget_state(
+        self, name: str, state: placement_costs.BackendState
+    ) -> None:
         self._forget_hint(name, state)
         self._hint_received_at_s.pop(name, None)
         self._load_received_at_s.pop(name, None)
 
-    def _state(self, instance: str) -> weighing.BackendState:
-        return self._states.setdefault(instance, weighing.BackendState())
+    def _state(self, instance: str) -> placement_costs.BackendState:
+        return self._states.setdefault(
+            instance, placement_costs.BackendState()
+        )
 
-    def _mark_stale(self, state: weighing.BackendState) -> None:
-        for estimates, column in state.columns:
-            estimates.mark_stale(column)
+    def _mark_stale(self, state: placement_costs.BackendState) -> None:
+        for costs, column in state.columns:
+            costs.mark_stale(column)
 
     def _drop_old_hints(self) -> None:
         for name in self._pop_expired(
-            self._load_received_at_s, self._load_age_s
+            self._load_received_at_s, self._load_max_age_s
         ):
             self._states[name].is_load_current = False
             self._mark_stale(self._states[name])
@@ -294,45 +300,45 @@
             yield name
 
     def _forget_hint(
-        self, instance: str, state: weighing.BackendState
+        self, instance: str, state: placement_costs.BackendState
     ) -> None:
         if state.hint is None:
             return
         self._holders.forget_hint(instance, state.hint)
         state.hint = None
 
-    def _estimates_of(
+    def _costs_for(
         self, instances: Sequence[live_list.Instance]
-    ) -> weighing.WaitEstimates:
-        """Return the current estimates for these instances."""
+    ) -> placement_costs.PlacementCosts:
+        """Return the current costs for these instances."""
         self._drop_old_hints()
         fixed = tuple(instances)
         # Keyed by identity, not by names: an instance of the same name
-        # may be another process.  The cached estimates keep the tuple
+        # may be another process.  The cached costs keep the tuple
         # alive, so its id is not reused.
-        found = self._estimates.get(id(fixed))
+        found = self._costs.get(id(fixed))
         if found is None:
-            found = self._new_estimates(fixed)
+            found = self._new_costs(fixed)
         self._pools.set_active_count(found)
         return found
 
-    def _new_estimates(
+    def _new_costs(
         self, instances: tuple[live_list.Instance, ...]
-    ) -> weighing.WaitEstimates:
-        if len(self._estimates) >= _MAX_CACHED_ESTIMATES:
-            self._drop_estimates()
-        found = weighing.WaitEstimates(
+    ) -> placement_costs.PlacementCosts:
+        if len(self._costs) >= _MAX_CACHED_COSTS:
+            self._drop_costs()
+        found = placement_costs.PlacementCosts(
             instances,
             [self._state(instance.name) for instance in instances],
             self._pools.of(instances),
             self._fill_cost_s,
-            self._squeeze_s,
+            self._no_spare_slot_penalty_s,
         )
-        self._estimates[id(instances)] = found
+        self._costs[id(instances)] = found
         return found
 
-    def _drop_estimates(self) -> None:
-        self._estimates.clear()
+    def _drop_costs(self) -> None:
+        self._costs.clear()
         for state in self._states.values():
             state.columns.clear()
 
--- a/lacewingpitch/weighing.py
+++ b/lacewingpitch/placement_costs.py
@@ -44,7 +44,7 @@
     sent_since_hint: int = 0
     loads_since_hint: int = 0
     in_progress_count: int = 0
-    columns: list[tuple['WaitEstimates', int]] = dataclasses.field(
+    columns: list[tuple['PlacementCosts', int]] = dataclasses.field(
         default_factory=list
     )
 
@@ -114,7 +114,7 @@
     smoothed_load: float = 0.0
 
 
-class WaitEstimates:
+class PlacementCosts:
     """Estimated waits at a set of backend servers, one column for each.
 
     A column is computed again only when the state of its backend server
@@ -146,7 +146,9 @@
         self._states = states
         self._fill_cost_s = fill_cost_s
         self._names = [i.name.encode() for i in instances]
-        self._priorities = [directory.standing(i.name) for i in instances]
+        self._priorities = [
+            directory.retention_priority(i.name) for i in instances
+        ]
         self._by_priority = sorted(
             range(len(instances)),
             key=self._priorities.__getitem__,
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -9,6 +9,7 @@
 from lacewingpitch import access
 from lacewingpitch import backend_call
 from lacewingpitch import backend_list
+from lacewingpitch import cached_copies
 from lacewingpitch import carrier as carrier_module
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
@@ -16,7 +17,6 @@
 from lacewingpitch import crash_record
 from lacewingpitch import draining
 from lacewingpitch import ejection
-from lacewingpitch import kept_copies
 from lacewingpitch import link
 from lacewingpitch import metrics_server
 from lacewingpitch import peer_state
@@ -170,9 +170,9 @@
         placement = placement_module.Placement(
             process.clock,
             product_settings.ObjectiveSettings(stall_weight=1),
-            squeeze_s=0.0,
-            load_age_s=_LOAD_AGE_S,
-            copies=kept_copies.KeptCopies(),
+            no_spare_slot_penalty_s=0.0,
+            load_max_age_s=_LOAD_AGE_S,
+            cached_copies=cached_copies.CachedCopies(),
             instance=settings.instance,
         )
         services = service_choice.ServiceChoice(
@@ -182,7 +182,7 @@
             process.random,
         )
         for forget in (
-            placement.forget,
+            placement.reset_instance,
             services.forget,
             self.ejector.forget,
         ):
--- a/lacewingpitch/platform/published.py
+++ b/lacewingpitch/platform/published.py
@@ -108,7 +108,7 @@
             )
             self._is_unreadable = False
         elif item.key.startswith(names.ADAPTER_VERSION_PREFIX):
-            self._versions.note(*wire.decode_adapter_version(item.value))
+            self._versions.record(*wire.decode_adapter_version(item.value))
 
 
 class BackendNews:
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -121,7 +121,7 @@
             self._node.membership.changes,
         )
         pacing = store_pacing.StorePacing(self._node, self.settings.store)
-        self._exits.callback(pacing.desk.close)
+        self._exits.callback(pacing.issuer.close)
         runner = runner_module.make_runner(
             self.settings,
             self._node,
--- a/lacewingpitch/sidecar_link.py
+++ b/lacewingpitch/sidecar_link.py
@@ -297,7 +297,7 @@
                 total=None, sock_connect=_CONNECT_TIMEOUT_S
             ),
         )
-        self._placement.learn(
+        self._placement.apply_hint_header(
             sidecar.name, response.headers.get(work.HINT_HEADER, '')
         )
         leaving = response.headers.get(work.LEAVING_HEADER, '')
--- a/lacewingpitch/slot_forecast.py
+++ b/lacewingpitch/slot_forecast.py
@@ -5,8 +5,8 @@
 from lacewingpitch import adapter_waiters
 from lacewingpitch import clock as clock_module
 from lacewingpitch import load_times as load_times_module
-from lacewingpitch import place_forecast
 from lacewingpitch import slot as slot_module
+from lacewingpitch import slot_simulation
 from lacewingpitch import slot_table
 
 _Waiters: TypeAlias = adapter_waiters.AdapterWaiters[slot_module.Slot]
@@ -38,26 +38,26 @@
         self._max_loading = max_loading
         self._clock = clock
 
-    def wait(self, name: str = '') -> place_forecast.AdapterWait:
+    def wait(self, name: str = '') -> slot_simulation.AdapterWait:
         """Return the expected wait of a request for adapter `name`.
 
         Without a name, the wait is that for an adapter that is neither
         held nor cached.
         """
         if self._slots.is_open(name):
-            return place_forecast.AdapterWait()
+            return slot_simulation.AdapterWait()
         now_s = self._clock.monotonic_s()
         slot = self._slots.get(name)
         if slot is not None and slot.state is slot_module.SlotState.LOADING:
-            return place_forecast.AdapterWait(
+            return slot_simulation.AdapterWait(
                 load_s=self._remaining_load_s(slot, now_s)
             )
-        simulation = place_forecast.PlaceForecast(
+        simulation = slot_simulation.SlotSimulation(
             self._free_in_s(now_s), self._max_loading
         )
         for other in self._loaded_before(name):
-            simulation.take(self._occupancy(other))
-        return simulation.take(self._occupancy(name))
+            simulation.assign_next(self._occupancy(other))
+        return simulation.assign_next(self._occupancy(name))
 
     def _loaded_before(self, name: str) -> list[str]:
         """Return the waiting adapters that are loaded before `name`."""
@@ -67,9 +67,9 @@
             ahead = [n for n in ahead if self._waiters.cost(n) > cost]
         return sorted(ahead, key=self._waiters.cost, reverse=True)
 
-    def _occupancy(self, name: str) -> place_forecast.Occupancy:
+    def _occupancy(self, name: str) -> slot_simulation.Occupancy:
         is_probe = 2 * self._slots.loading_count < self._max_loading
-        return place_forecast.Occupancy(
+        return slot_simulation.Occupancy(
             self._load_times.expected_s(name, is_probe),
             self._waiters.use_s(name),
         )
@@ -102,4 +102,6 @@
         if slot.is_closing or not busy_s:
             return 0.0
         rate_per_s = self._slots.demand.rate_per_s(slot.name)
-        return place_forecast.renewed_s(busy_s, rate_per_s, slot.mean_use_s)
+        return slot_simulation.busy_extension_s(
+            busy_s, rate_per_s, slot.mean_use_s
+        )
--- a/lacewingpitch/place_forecast.py
+++ b/lacewingpitch/slot_simulation.py
@@ -34,22 +34,22 @@
 
     Parameters
     ----------
-    place_s
+    slot_s
         Until a slot is free and the load begins.
     load_s
         Duration of the load.
     """
 
-    place_s: float = 0.0
+    slot_s: float = 0.0
     load_s: float = 0.0
 
     @property
     def total_s(self) -> float:
         """Return the total wait."""
-        return self.place_s + self.load_s
+        return self.slot_s + self.load_s
 
 
-def renewed_s(busy_s: float, rate_per_s: float, use_s: float) -> float:
+def busy_extension_s(busy_s: float, rate_per_s: float, use_s: float) -> float:
     """Return how much longer future requests keep a slot busy.
 
     Requests arrive as a Poisson process, and each uses the slot for some
@@ -73,7 +73,7 @@
     return -math.expm1(-rate_per_s * busy_s) * period_s
 
 
-class PlaceForecast:
+class SlotSimulation:
     """Simulates the slots of an engine, adapter by adapter.
 
     If more adapters are wanted at once than an engine has slots, each
@@ -95,7 +95,7 @@
         heapq.heapify(self._free_in_s)
         self._loader_free_in_s = [0.0] * max(1, load_count)
 
-    def take(self, occupancy: Occupancy) -> AdapterWait:
+    def assign_next(self, occupancy: Occupancy) -> AdapterWait:
         """Assign the next free slot to an adapter; return its wait."""
         if not self._free_in_s:
             return AdapterWait(_NEVER_S, occupancy.load_s)
--- a/lacewingpitch/slot_table.py
+++ b/lacewingpitch/slot_table.py
@@ -136,6 +136,6 @@
         return (
             not slot.is_closing,
             now_s - slot.used_at_s < _RECENT_USE_S,
-            self.demand.value(slot.name),
+            self.demand.count(slot.name),
             slot.used_at_s,
         )
--- a/lacewingpitch/slots.py
+++ b/lacewingpitch/slots.py
@@ -15,20 +15,20 @@
 from lacewingpitch import load_backoff
 from lacewingpitch import load_pacer
 from lacewingpitch import load_times
-from lacewingpitch import place_forecast
 from lacewingpitch import slot as slot_module
 from lacewingpitch import slot_forecast
+from lacewingpitch import slot_simulation
 from lacewingpitch import slot_table
 
 # Two outstanding requests for a permit keep the store busy; more would
 # only crowd out the sidecars whose waiting requests cost more.
-_MAX_ASKING = 2
+_MAX_PENDING_PERMITS = 2
 _CLOSE_AFTER_S = 2.0
-_FIRST_LOAD_GUESS_S = 0.5
+_INITIAL_LOAD_S = 0.5
 _RECHECK_INTERVAL_S = 1.0
 # Engines report with a lag: what they say of an earlier sidecar's runs
 # is believed only so long after we came.
-_REPORT_LAG_S = 3.0
+_MAX_REPORT_LAG_S = 3.0
 _EVICTION_LAG_S = 5.0
 log = structlog.get_logger(__name__)
 
@@ -48,13 +48,13 @@
         Says when a load may start.
     stall_weight
         The operator's objective, see `settings.ObjectiveSettings`.
-    max_loading
+    max_pending_permits
         Loads that may wait for a permit at once.
-    max_under_way
+    max_concurrent_loads
         Loads that the engine takes at once; without it, the pacer says.
-    report_lag_s
+    max_report_lag_s
         How old the engine's report may be when it is read.
-    first_load_s
+    initial_load_s
         How long a load takes until some were seen.
     """
 
@@ -66,18 +66,18 @@
         clock: clock_module.Clock,
         pacer: load_pacer.LoadPacer | None = None,
         stall_weight: float = 0.5,
-        max_loading: int = _MAX_ASKING,
-        max_under_way: int | None = None,
-        report_lag_s: float = _REPORT_LAG_S,
-        first_load_s: float = _FIRST_LOAD_GUESS_S,
+        max_pending_permits: int = _MAX_PENDING_PERMITS,
+        max_concurrent_loads: int | None = None,
+        max_report_lag_s: float = _MAX_REPORT_LAG_S,
+        initial_load_s: float = _INITIAL_LOAD_S,
     ) -> None:
         self._engine = engine
-        self._report_lag_s = report_lag_s
-        self._max_loading = max_loading
-        self._max_under_way = max_under_way or slot_count
+        self._max_report_lag_s = max_report_lag_s
+        self._max_pending_permits = max_pending_permits
+        self._max_concurrent_loads = max_concurrent_loads or slot_count
         self._fence = fence
         self._clock = clock
-        self._pacer = pacer or load_pacer.UnpacedLoads()
+        self._pacer = pacer or load_pacer.UnlimitedLoads()
         self._close_after_s = _CLOSE_AFTER_S / max(stall_weight, 0.05)
         self._slots = slot_table.SlotTable(slot_count, clock)
         self._waiters = adapter_waiters.AdapterWaiters[slot_module.Slot](clock)
@@ -86,9 +86,13 @@
         self._generation = 0
         self._is_closed = False
         self._asking = 0
-        self._load_times = load_times.LoadTimes(clock, first_load_s)
+        self._load_times = load_times.LoadTimes(clock, initial_load_s)
         self._forecast = slot_forecast.SlotForecast(
-            self._slots, self._waiters, self._load_times, max_loading, clock
+            self._slots,
+            self._waiters,
+            self._load_times,
+            max_pending_permits,
+            clock,
         )
         self._loaders: set[asyncio.Task[None]] = set()
         self.load_count = 0
@@ -104,7 +108,7 @@
         """Return whether a request for adapter `name` can start now."""
         return self._slots.is_open(name)
 
-    def knows(self, name: str) -> bool:
+    def has_slot(self, name: str) -> bool:
         """Return whether a slot is taken by adapter `name`."""
         return name in self._slots
 
@@ -114,7 +118,7 @@
         return len(self._waiters)
 
     @property
-    def spare_count(self) -> int:
+    def spare_slot_count(self) -> int:
         """Return how many slots can change hands at little cost."""
         spare = self._slots.free_count + self._slots.unused_count
         return max(0, spare - len(self._loadable()))
@@ -123,17 +127,17 @@
         """Return what a request for adapter `name` would wait now."""
         return self.expected_wait(name).total_s
 
-    def expected_wait(self, name: str = '') -> place_forecast.AdapterWait:
+    def expected_wait(self, name: str = '') -> slot_simulation.AdapterWait:
         """Return the same by its parts."""
         return self._forecast.wait(name)
 
     @property
-    def copy_load_s(self) -> float:
+    def cached_copy_load_s(self) -> float:
         """Return how long an adapter loads of which there is a copy."""
         return self._load_times.copy_s
 
     @property
-    def copy_count(self) -> int:
+    def cached_copy_count(self) -> int:
         """Return how many copies the engine seems to keep."""
         return self._load_times.copy_count
 
@@ -166,12 +170,12 @@
         finally:
             self._release(slot)
 
-    def forget_all(self) -> None:
+    def clear_and_reload(self) -> None:
         """Record that the engine restarted empty, and load anew."""
-        self.drop_all()
+        self.clear()
         self._start_loads()
 
-    def drop_all(self) -> None:
+    def clear(self) -> None:
         """Record that the engine restarted, and cannot load yet.
 
         Holds that are out keep their own slot objects, so that giving
@@ -183,7 +187,7 @@
         self._evicted_at_s.clear()
         self._load_times.forget_copies()
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Record that the engine says it does not hold an adapter."""
         slot = self._slots.get(name)
         if slot is not None and slot.state is slot_module.SlotState.READY:
@@ -234,13 +238,13 @@
         for slot in self._slots:
             if (
                 slot.adopted_at_s is not None
-                and asked_at_s >= slot.adopted_at_s + self._report_lag_s
+                and asked_at_s >= slot.adopted_at_s + self._max_report_lag_s
                 and is_idle(slot.name)
             ):
                 slot.adopted_at_s = None
                 self._release(slot)
 
-    def limit(self, slot_count: int) -> None:
+    def limit_slot_count(self, slot_count: int) -> None:
         """Use no more slots than the engine says that it has."""
         # Settings that name more than there are would make each load
         # into a slot that is none fail, and its requests with it.
@@ -348,8 +352,8 @@
         wanted = min(
             len(self._loadable()),
             self._slots.available_count,
-            self._max_loading,
-            self._max_under_way - self._slots.loading_count,
+            self._max_pending_permits,
+            self._max_concurrent_loads - self._slots.loading_count,
         )
         for _ in range(wanted - self._asking):
             self._asking += 1
@@ -392,8 +396,8 @@
         victims = self._slots.choose_victims()
         try:
             await self._evict(victims)
-            await self._engine.load_adapter(name, self._fence.number)
-            self._fence.accepted()
+            await self._engine.load_adapter(name, self._fence.token)
+            self._fence.mark_accepted()
         except errors.PlatformError as error:
             self._slots.discard(slot)
             if generation == self._generation:
@@ -426,9 +430,9 @@
         for victim in victims:
             try:
                 await self._engine.evict_adapter(
-                    victim.name, self._fence.number
+                    victim.name, self._fence.token
                 )
-                self._fence.accepted()
+                self._fence.mark_accepted()
             except errors.PlatformError:
                 # Whether it is gone is not known: if it is, the engine
                 # refuses its next request, which is then `forget`.
--- a/lacewingpitch/store_pacing.py
+++ b/lacewingpitch/store_pacing.py
@@ -26,8 +26,8 @@
 from lacewingpitch import placement
 from lacewingpitch import settings as settings_module
 
-LEASE_S = 10.0
-ASK_AGAIN_S = 2.0
+PERMIT_LEASE_S = 10.0
+RETRY_INTERVAL_S = 2.0
 _ASK_AGAIN_RATIO = 0.8
 _LATE_S = 1.0
 _LAPSE_S = 4.0
@@ -66,7 +66,7 @@
     """
 
     granted: bool
-    ask_again_s: float = ASK_AGAIN_S
+    ask_again_s: float = RETRY_INTERVAL_S
 
 
 class PermitGrant(link.Message, frozen=True):
@@ -92,7 +92,7 @@
         """Ask for a permit or renew one."""
         ...
 
-    async def give_back(self, message: PermitReturn) -> None:
+    async def release(self, message: PermitReturn) -> None:
         """Give a permit back."""
         ...
 
@@ -114,7 +114,7 @@
         return self.weight * (1.0 + waited_s / _AGING_S)
 
 
-class PermitDesk:
+class PermitIssuer:
     """The permits of the store, at the sidecar that keeps them.
 
     Parameters
@@ -158,24 +158,24 @@
         now_s = self._clock.monotonic_s()
         permit_id = request.permit_id
         if permit_id in self._held_until_s:
-            self._held_until_s[permit_id] = now_s + LEASE_S
+            self._held_until_s[permit_id] = now_s + PERMIT_LEASE_S
             return PermitReply(granted=True)
         if permit_id not in self._waiting:
             self._queue(request, now_s)
         asking = self._waiting.get(permit_id)
         if asking is not None:
             asking.weight = request.weight
-            asking.due_s = now_s + ASK_AGAIN_S
+            asking.due_s = now_s + RETRY_INTERVAL_S
         self._serve(asked_by=permit_id)
         if permit_id in self._held_until_s:
             return PermitReply(granted=True)
-        again_s = ASK_AGAIN_S
+        again_s = RETRY_INTERVAL_S
         if asking is not None:
             again_s = self._ask_again_s(permit_id, now_s)
             asking.due_s = now_s + again_s
         return PermitReply(granted=False, ask_again_s=again_s)
 
-    def give_back(self, permit_id: str) -> None:
+    def release(self, permit_id: str) -> None:
         """Take back a permit, or the wish for one; idempotent."""
         self._waiting.pop(permit_id, None)
         self._held_until_s.pop(permit_id, None)
@@ -189,7 +189,7 @@
     def _queue(self, request: PermitRequest, now_s: float) -> None:
         if len(self._waiting) >= _MAX_WAITING:
             return
-        due_s = now_s + ASK_AGAIN_S
+        due_s = now_s + RETRY_INTERVAL_S
         self._waiting[request.permit_id] = _Asking(
             request.asker, request.weight, now_s, due_s
         )
@@ -207,7 +207,9 @@
                 return
             asking = self._waiting.pop(permit_id)
             self._tokens -= 1.0
-            self._held_until_s[permit_id] = self._clock.monotonic_s() + LEASE_S
+            self._held_until_s[permit_id] = (
+                self._clock.monotonic_s() + PERMIT_LEASE_S
+            )
             if permit_id != asked_by:
                 self._notify(asking.asker, PermitGrant(permit_id=permit_id))
         self._set_timer()
@@ -239,7 +241,7 @@
         # its turn can come, for grants may be lost and askers die.
         before = self._place(permit_id, now_s)
         turn_s = before / self._settings.loads_per_s
-        return max(ASK_AGAIN_S, turn_s * _ASK_AGAIN_RATIO)
+        return max(RETRY_INTERVAL_S, turn_s * _ASK_AGAIN_RATIO)
 
     def _place(self, permit_id: str, now_s: float) -> int:
         """Return how many go before, by a ranking made of late."""
@@ -343,7 +345,7 @@
             del self._granted[permit_id]
             self._give_back(permit_id)
 
-    def on_grant(self, grant: PermitGrant) -> PermitAck:
+    def apply_grant(self, grant: PermitGrant) -> PermitAck:
         """Take a grant; one that comes late is given back again."""
         event = self._granted.get(grant.permit_id)
         if event is None:
@@ -379,7 +381,7 @@
             if left_s <= 0 or weight() > _HURRY_RATIO * asked_weight:
                 return
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(ASK_AGAIN_S, left_s)):
+                async with asyncio.timeout(min(RETRY_INTERVAL_S, left_s)):
                     await event.wait()
 
     async def _ask(self, permit_id: str, weight: float) -> PermitReply:
@@ -427,13 +429,13 @@
 
     async def _send_back(self, permit_id: str) -> None:
         with contextlib.suppress(errors.LinkError):
-            await self._permits.give_back(PermitReturn(permit_id=permit_id))
+            await self._permits.release(PermitReturn(permit_id=permit_id))
 
 
 class StorePacing:
-    """Both ends of pacing at one sidecar: its loads, and the desk.
+    """Both ends of pacing at one sidecar: its loads, and the issuer.
 
-    Every sidecar has a desk; that of one of them is in use.  A store
+    Every sidecar has a issuer; that of one of them is in use.  A store
     that bears more than a sidecar can hand out is split over several
     keepers, each with its share.
     """
@@ -449,7 +451,7 @@
             loads_per_s=settings.loads_per_s / self._keeper_count,
             loads_at_once=max(1, settings.loads_at_once // self._keeper_count),
         )
-        self.desk = PermitDesk(node.clock, share, self._notify)
+        self.issuer = PermitIssuer(node.clock, share, self._notify)
         self.pacer = StorePacer(
             node.clock, settings, self, node.settings.instance
         )
@@ -470,7 +472,7 @@
             request, PermitReply, _ASK_TIMEOUT_S
         )
 
-    async def give_back(self, message: PermitReturn) -> None:
+    async def release(self, message: PermitReturn) -> None:
         """Give a permit back to the keeper.
 
         Raises
@@ -495,10 +497,10 @@
         ]
 
     def _keeper(self) -> live_list.Instance:
-        share = placement.bucket(
+        share = placement.hash_bucket(
             self._node.settings.instance, self._keeper_count
         )
-        ranked = placement.rank(f'store/{share}', self._sidecars())
+        ranked = placement.rank_by_hash(f'store/{share}', self._sidecars())
         if not ranked:
             raise errors.LinkError('no sidecar is listed')
         return ranked[0]
@@ -507,13 +509,13 @@
         return self._node.peers.peer(instance.ip, instance.control_port)
 
     async def _take_request(self, message: PermitRequest) -> PermitReply:
-        return self.desk.ask(message)
+        return self.issuer.ask(message)
 
     async def _take_grant(self, message: PermitGrant) -> PermitAck:
-        return self.pacer.on_grant(message)
+        return self.pacer.apply_grant(message)
 
     async def _take_return(self, message: PermitReturn) -> PermitAck:
-        self.desk.give_back(message.permit_id)
+        self.issuer.release(message.permit_id)
         return PermitAck()
 
     def _notify(self, asker: str, grant: PermitGrant) -> None:
--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -5,7 +5,7 @@
 from lacewingpitch import backend_list
 from lacewingpitch import ejection
 from lacewingpitch import isolation
-from lacewingpitch import placed_instances
+from lacewingpitch import listed_instances
 from lacewingpitch import placement as placement_module
 from lacewingpitch import wanted_turn
 
@@ -26,14 +26,14 @@
         self._servers = servers
         self._placement = placement
         self._ejector = ejector
-        self._instances = placed_instances.PlacedInstances(servers, placement)
+        self._instances = listed_instances.ListedInstances(servers, placement)
 
     def to_ask(
         self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
         """Return the engines whose sidecars are asked, in their order."""
         instances = self._instances.of(wanted.service)
-        ranked = self._placement.candidates(
+        ranked = self._placement.ranked_instances(
             wanted.key or wanted.run_id, instances
         )
         names = [i.name for i in ranked if i.name not in excluded]
--- a/lacewingpitch/turn_source.py
+++ b/lacewingpitch/turn_source.py
@@ -133,7 +133,7 @@
         """
         turn, is_granted = await self._acquire(wanted, excluded)
         try:
-            with self._placement.sent(wanted.key, turn.server.name):
+            with self._placement.track_request(wanted.key, turn.server.name):
                 yield turn
         finally:
             if is_granted:
@@ -415,7 +415,7 @@
     ) -> None:
         is_current = self._servers.note_start(server.name, reply.started_at_ms)
         if reply.hint is not None and is_current:
-            self._placement.learn_hint(server.name, reply.hint)
+            self._placement.apply_hint(server.name, reply.hint)
         self._note_configuration(server.ip, reply.configuration_version)
         self._note_entries(reply.entry_count)
 
--- a/tests/test_adapter_versions.py
+++ b/tests/test_adapter_versions.py
@@ -6,11 +6,11 @@
 class TestAdapterVersions:
     def test_news_of_an_older_version_is_none(self):
         versions = adapter_versions.AdapterVersions()
-        assert versions.note('m', 'a', 3)
-        assert not versions.note('m', 'a', 2)
-        assert not versions.note('m', 'a', 3)
-        assert versions.wanted('m', 'a') == 3
-        assert versions.wanted('m', 'b') == 0
+        assert versions.record('m', 'a', 3)
+        assert not versions.record('m', 'a', 2)
+        assert not versions.record('m', 'a', 3)
+        assert versions.required_version('m', 'a') == 3
+        assert versions.required_version('m', 'b') == 0
 
 
 class TestSlotName:
--- a/tests/test_kept_copies.py
+++ b/tests/test_cached_copies.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from lacewingpitch import kept_copies
+from lacewingpitch import cached_copies
 
 
 @pytest.fixture
 def copies():
-    return kept_copies.KeptCopies()
+    return cached_copies.CachedCopies()
 
 
 class TestNames:
--- a/tests/test_engine_keeper.py
+++ b/tests/test_engine_keeper.py
@@ -457,7 +457,7 @@
         async def story(scene):
             await scene.ask('one')
             await scene.end('one')
-            scene.versions.note('m', 'a', 2)
+            scene.versions.record('m', 'a', 2)
             reply = await scene.ask('two')
             assert reply.version == 2
             assert scene.engine.held == {'m/a': 2}
--- a/tests/test_engine_view.py
+++ b/tests/test_engine_view.py
@@ -199,7 +199,7 @@
         """
 
         async def story(scene):
-            scene.engine.fence = scene.fence.number + 25_000
+            scene.engine.fence = scene.fence.token + 25_000
             await scene.view.load_adapter('m/a', 0)
 
         play(story)
--- a/tests/test_expected_wait.py
+++ b/tests/test_expected_wait.py
@@ -8,9 +8,9 @@
 
 from benchmarks import virtual_time
 from lacewingpitch import expected_wait
-from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
 from lacewingpitch import routing
+from lacewingpitch import slot_simulation
 from tests import fake_engine
 from tests import test_admission
 from tests import test_engine_keeper
@@ -23,7 +23,7 @@
     """Places whose next adapter waits for a given time."""
 
     def __init__(self, place_s=0.0, load_s=0.0):
-        self.wait = place_forecast.AdapterWait(place_s, load_s)
+        self.wait = slot_simulation.AdapterWait(place_s, load_s)
 
     def expected_wait(self, name=''):
         return self.wait
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -21,10 +21,10 @@
 class TestNumber:
     def test_is_above_the_engine_s_last_with_the_clock_set_back(self):
         old = fence.Fence(clocks.ManualClock(1000.0))
-        old.renew(report('a'))
+        old.apply_report(report('a'))
         successor = fence.Fence(clocks.ManualClock(10.0))
-        successor.renew(report('a', old.number))
-        assert successor.number > old.number
+        successor.apply_report(report('a', old.token))
+        assert successor.token > old.token
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.ENGINE_EMPTY, Step.ANY)
     def test_is_above_an_earlier_sidecar_at_an_engine_that_forgot(self):
@@ -35,19 +35,19 @@
         from the engine's report alone.
         """
         old = fence.Fence(clocks.ManualClock(1000.0))
-        old.renew(report('a', 7))
+        old.apply_report(report('a', 7))
         successor = fence.Fence(clocks.ManualClock(1001.0))
-        successor.renew(report('b'))
-        assert successor.number > old.number
+        successor.apply_report(report('b'))
+        assert successor.token > old.token
 
     def test_never_falls_when_the_engine_restarts_empty(self):
         clock = clocks.ManualClock(1000.0)
         found = fence.Fence(clock)
-        found.renew(report('a'))
-        before = found.number
+        found.apply_report(report('a'))
+        before = found.token
         clock.now_s = 10.0
-        assert found.renew(report('b'))
-        assert found.number >= before
+        assert found.apply_report(report('b'))
+        assert found.token >= before
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.ENGINE_LATE, Step.ANY)
     def test_rises_if_the_first_report_lagged(self):
@@ -57,9 +57,9 @@
         before it, whose clock was ahead.
         """
         found = fence.Fence(clocks.ManualClock(1000.0))
-        found.renew(report('a', 5))
-        assert not found.renew(report('a', 2_000_000))
-        assert found.number > 2_000_000
+        found.apply_report(report('a', 5))
+        assert not found.apply_report(report('a', 2_000_000))
+        assert found.token > 2_000_000
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.FROZEN, Step.ANY)
     def test_does_not_rise_over_a_successor(self):
@@ -68,8 +68,8 @@
         One was frozen, and wakes to a higher number at its engine.
         """
         found = fence.Fence(clocks.ManualClock(1000.0))
-        found.renew(report('a'))
-        found.accepted()
-        number = found.number
-        found.renew(report('a', number + 1))
-        assert found.number == number
+        found.apply_report(report('a'))
+        found.mark_accepted()
+        number = found.token
+        found.apply_report(report('a', number + 1))
+        assert found.token == number
--- a/tests/test_fleet_placement.py
+++ b/tests/test_fleet_placement.py
@@ -7,8 +7,8 @@
 import numpy
 import pytest
 
+from lacewingpitch import cached_copies
 from lacewingpitch import hint
-from lacewingpitch import kept_copies
 from lacewingpitch import placement
 from lacewingpitch import settings
 from tests import clocks
@@ -86,7 +86,7 @@
             copy_wait_ms=int(COPY_LOAD_S * 1000),
             copy_count=COPY_COUNT,
             spare_slots=PLACE_COUNT - len(self.held),
-            adapters=hint.join_fingerprints(self.held),
+            adapters=hint.encode_fingerprints(self.held),
         )
 
 
@@ -105,9 +105,9 @@
             placement.Placement(
                 self.clock,
                 settings.ObjectiveSettings(stall_weight=1.0),
-                squeeze_s=0.0,
-                load_age_s=2.0,
-                copies=kept_copies.KeptCopies(),
+                no_spare_slot_penalty_s=0.0,
+                load_max_age_s=2.0,
+                cached_copies=cached_copies.CachedCopies(),
                 instance=f'entry-{number}',
             )
             for number in range(ENTRY_COUNT)
@@ -127,18 +127,18 @@
     def _publish(self):
         for name, engine in self.engines.items():
             for entry in self.entries:
-                entry.learn_listed(name, engine.held)
+                entry.apply_listed_adapters(name, engine.held)
 
     def _serve(self, key, entry):
         self.asked_for.add(key)
         now_s = self.clock.monotonic_s()
-        for server in entry.candidates(key, self.instances)[:MAX_ASKED]:
+        for server in entry.ranked_instances(key, self.instances)[:MAX_ASKED]:
             engine = self.engines[server.name]
             engine.advance(now_s)
             is_taken = engine.may_take(key, now_s)
             if is_taken:
                 self.outcomes['from the store'] += engine.take(key, now_s)
-            entry.learn_hint(server.name, engine.hint())
+            entry.apply_hint(server.name, engine.hint())
             if is_taken:
                 self.outcomes['served'] += 1
                 return
--- a/tests/test_hint.py
+++ b/tests/test_hint.py
@@ -22,7 +22,7 @@
         'max_running': 16,
         'load_wait_ms': 500,
         'spare_slots': 2,
-        'adapters': hint.join_fingerprints(['fern@1', 'ficus@2']),
+        'adapters': hint.encode_fingerprints(['fern@1', 'ficus@2']),
     }
     return hint.Hint(**found | fields)
 
@@ -36,7 +36,7 @@
 
     def test_is_small_for_eight_slots(self):
         names = [f'adapter-{number}@1' for number in range(8)]
-        adapters = hint.join_fingerprints(names)
+        adapters = hint.encode_fingerprints(names)
         assert len(hint.encode_hint(make_hint(adapters=adapters))) <= 64
 
     def test_fields_of_a_later_version_are_ignored(self):
--- a/tests/test_organisation_fairness.py
+++ b/tests/test_organisation_fairness.py
@@ -10,8 +10,8 @@
 from lacewingpitch import grant_desk
 from lacewingpitch import grant_record
 from lacewingpitch import metrics
-from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
+from lacewingpitch import slot_simulation
 from lacewingpitch import turn_queue
 
 TURNS = 32
@@ -28,12 +28,12 @@
     """Every adapter is held, and none takes a place."""
 
     adapters = ()
-    spare_count = 9
-    copy_load_s = 0.0
-    copy_count = 0
+    spare_slot_count = 9
+    cached_copy_load_s = 0.0
+    cached_copy_count = 0
 
     def expected_wait(self, name=''):
-        return place_forecast.AdapterWait()
+        return slot_simulation.AdapterWait()
 
 
 class Engine:
--- a/tests/test_peer_state.py
+++ b/tests/test_peer_state.py
@@ -97,12 +97,12 @@
 
         async def story(scene):
             scene.other.read_store()
-            scene.other.versions.note('m', 'a', 4)
+            scene.other.versions.record('m', 'a', 4)
             scene.link.entries = {B: Entry(), C: scene.other}
             await asyncio.sleep(20.0)
             await scene.starting.state.run()
             assert scene.starting.table.version == 5
-            assert scene.starting.versions.wanted('m', 'a') == 4
+            assert scene.starting.versions.required_version('m', 'a') == 4
             (found,) = scene.starting.servers.serving('chat')
             assert (found.name, found.adapters) == ('i-1', {})
             assert scene.starting.servers.age_s >= 20.0
@@ -133,13 +133,13 @@
 
         async def story(scene):
             scene.other.read_store(b'6')
-            scene.other.versions.note('m', 'a', 4)
+            scene.other.versions.record('m', 'a', 4)
             scene.link.entries = {B: scene.other}
             scene.starting.is_copy = True
             scene.starting.read_store(b'5')
             await scene.starting.state.run()
             assert scene.starting.table.version == 6
-            assert scene.starting.versions.wanted('m', 'a') == 4
+            assert scene.starting.versions.required_version('m', 'a') == 4
             assert not scene.starting.table.is_away
             assert scene.link.asked == [A, B]
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,10 +9,10 @@
 import pytest
 
 from benchmarks import virtual_time
+from lacewingpitch import cached_copies
 from lacewingpitch import directory
 from lacewingpitch import errors
 from lacewingpitch import hint
-from lacewingpitch import kept_copies
 from lacewingpitch import placement
 from lacewingpitch import settings
 from tests import clocks
@@ -52,7 +52,7 @@
         'max_running': 16,
         'load_wait_ms': 500,
         'spare_slots': 4,
-        'adapters': hint.join_fingerprints(adapters),
+        'adapters': hint.encode_fingerprints(adapters),
     }
     return hint.encode_hint(hint.Hint(**found | fields))
 
@@ -78,14 +78,14 @@
         first, second = make_placement(clock), make_placement(clock)
         for number in range(50):
             key = f'adapter-{number}@1'
-            chosen = first.candidates(key, instances)
-            assert chosen == second.candidates(key, instances[::-1])
+            chosen = first.ranked_instances(key, instances)
+            assert chosen == second.ranked_instances(key, instances[::-1])
 
     def test_only_the_adapters_of_a_lost_one_move(self, instances):
         for number in range(200):
             key = f'adapter-{number}@1'
-            before = placement.rank(key, instances)
-            after = placement.rank(key, instances[1:])
+            before = placement.rank_by_hash(key, instances)
+            after = placement.rank_by_hash(key, instances[1:])
             if before[0] != instances[0]:
                 assert after[0] == before[0]
 
@@ -103,14 +103,16 @@
             for places, spare in ((first, number % 3), (second, 2)):
                 for place, instance in enumerate(instances):
                     slots = 4 + (place + spare) % 3
-                    places.learn(instance.name, make_hint(spare_slots=slots))
-            home = placement.rank(key, instances)[0]
-            assert first.candidates(key, instances)[0] == home
-            assert second.candidates(key, instances)[0] == home
+                    places.apply_hint_header(
+                        instance.name, make_hint(spare_slots=slots)
+                    )
+            home = placement.rank_by_hash(key, instances)[0]
+            assert first.ranked_instances(key, instances)[0] == home
+            assert second.ranked_instances(key, instances)[0] == home
 
     def test_every_instance_is_a_candidate(self, clock, instances):
         places = make_placement(clock, stall_weight=0.1)
-        found = places.candidates('a@1', instances)
+        found = places.ranked_instances('a@1', instances)
         assert sorted(i.name for i in found) == [i.name for i in instances]
 
 
@@ -123,14 +125,14 @@
         return placement.Placement(
             clock,
             settings.ObjectiveSettings(stall_weight=1.0),
-            squeeze_s=0.0,
-            load_age_s=2.0,
-            copies=kept_copies.KeptCopies(),
+            no_spare_slot_penalty_s=0.0,
+            load_max_age_s=2.0,
+            cached_copies=cached_copies.CachedCopies(),
             instance=entry,
         )
 
     def names(self, places, instances):
-        return [i.name for i in places.candidates(self.KEY, instances)]
+        return [i.name for i in places.ranked_instances(self.KEY, instances)]
 
     def test_a_load_that_was_told_long_ago_is_not_believed(
         self, clock, instances
@@ -142,25 +144,27 @@
         """
         places = self.make_places(clock)
         full = make_hint(self.KEY, running=16, queued=8)
-        places.learn(instances[2].name, full)
+        places.apply_hint_header(instances[2].name, full)
         for other in (0, 1, 3, 4):
-            places.learn(instances[other].name, make_hint(load_wait_ms=200))
+            places.apply_hint_header(
+                instances[other].name, make_hint(load_wait_ms=200)
+            )
         assert self.names(places, instances)[0] != instances[2].name
         clock.now_s += 2.5
         assert self.names(places, instances)[0] == instances[2].name
 
     def test_who_kept_a_copy_is_asked_before_its_home(self, clock, instances):
         places = self.make_places(clock)
-        by_hash = placement.rank(self.KEY, instances)
+        by_hash = placement.rank_by_hash(self.KEY, instances)
         for instance in instances:
-            places.learn(
+            places.apply_hint_header(
                 instance.name, make_hint(copy_wait_ms=30, copy_count=66)
             )
         keeper = by_hash[3].name
-        places.learn_listed(keeper, [self.KEY])
-        places.learn_listed(keeper, [])
+        places.apply_listed_adapters(keeper, [self.KEY])
+        places.apply_listed_adapters(keeper, [])
         assert self.names(places, instances)[0] == keeper
-        places.forget(keeper)
+        places.reset_instance(keeper)
         assert self.names(places, instances)[0] == by_hash[0].name
 
     def test_entries_bring_what_overflows_to_the_same_engines(
@@ -171,14 +175,16 @@
         Its home has no turn for it, and each entry takes the engine for
         the next one of which it has heard that it is a little emptier.
         """
-        by_hash = placement.rank(self.KEY, instances)
+        by_hash = placement.rank_by_hash(self.KEY, instances)
         for number in range(4):
             places = self.make_places(clock, f'edge-{number}')
             for place, instance in enumerate(instances):
                 running = (place + number) % 3
-                places.learn(instance.name, make_hint(running=running))
+                places.apply_hint_header(
+                    instance.name, make_hint(running=running)
+                )
             full = make_hint(self.KEY, running=16, queued=16)
-            places.learn(by_hash[0].name, full)
+            places.apply_hint_header(by_hash[0].name, full)
             assert self.names(places, instances)[0] == by_hash[1].name
 
     def test_entries_ask_holders_in_orders_of_their_own(
@@ -192,7 +198,7 @@
         for number in range(20):
             places = self.make_places(clock, f'edge-{number}')
             for instance in instances[:3]:
-                places.learn_listed(instance.name, [self.KEY])
+                places.apply_listed_adapters(instance.name, [self.KEY])
             found = self.names(places, instances)
             assert set(found[:2]) < {i.name for i in instances[:3]}
             first.add(found[0])
@@ -205,7 +211,7 @@
         """
         places = self.make_places(clock)
         for instance in instances[:4]:
-            places.learn_listed(instance.name, [self.KEY])
+            places.apply_listed_adapters(instance.name, [self.KEY])
         found = self.names(places, instances)
         assert found[2] == instances[4].name
 
@@ -219,61 +225,63 @@
         """
         places = make_placement(clock)
         for instance in instances:
-            places.learn(instance.name, make_hint())
-        last = places.candidates('m/a', instances)[-1]
-        places.learn_listed(last.name, ['m/a', 'm/b'])
-        assert places.candidates('m/a', instances)[0] == last
+            places.apply_hint_header(instance.name, make_hint())
+        last = places.ranked_instances('m/a', instances)[-1]
+        places.apply_listed_adapters(last.name, ['m/a', 'm/b'])
+        assert places.ranked_instances('m/a', instances)[0] == last
 
     def test_what_is_listed_no_more_is_forgotten(self, clock, instances):
         places = make_placement(clock)
-        before = places.candidates('m/a', instances)
-        places.learn_listed(before[-1].name, ['m/a'])
-        places.learn_listed(before[-1].name, ['m/b'])
-        assert places.candidates('m/a', instances) == before
-        places.learn_listed(before[-1].name, ['m/a'])
+        before = places.ranked_instances('m/a', instances)
+        places.apply_listed_adapters(before[-1].name, ['m/a'])
+        places.apply_listed_adapters(before[-1].name, ['m/b'])
+        assert places.ranked_instances('m/a', instances) == before
+        places.apply_listed_adapters(before[-1].name, ['m/a'])
         places.retain([i for i in instances if i != before[-1]])
         places.retain(instances)
-        assert places.candidates('m/a', instances)[0] != before[-1]
+        assert places.ranked_instances('m/a', instances)[0] != before[-1]
 
 
 class TestHints:
     def test_prefers_where_the_adapter_is(self, clock, instances):
         places = make_placement(clock)
-        last = places.candidates('a@1', instances)[-1]
+        last = places.ranked_instances('a@1', instances)[-1]
         for instance in instances:
-            places.learn(instance.name, make_hint())
-        places.learn(last.name, make_hint('a@1'))
-        assert places.candidates('a@1', instances)[0] == last
-        assert places.candidates('a@2', instances)[0] != last
+            places.apply_hint_header(instance.name, make_hint())
+        places.apply_hint_header(last.name, make_hint('a@1'))
+        assert places.ranked_instances('a@1', instances)[0] == last
+        assert places.ranked_instances('a@2', instances)[0] != last
 
     def test_ages_out(self, clock, instances):
         places = make_placement(clock)
-        before = places.candidates('a@1', instances)
-        places.learn(before[-1].name, make_hint('a@1'))
+        before = places.ranked_instances('a@1', instances)
+        places.apply_hint_header(before[-1].name, make_hint('a@1'))
         clock.now_s += placement.HINT_AGE_S + 1.0
-        assert places.candidates('a@1', instances) == before
+        assert places.ranked_instances('a@1', instances) == before
 
     def test_avoids_full_slots_and_long_queues(self, clock, instances):
         places = make_placement(clock)
-        home = places.candidates('a@1', instances)[0]
+        home = places.ranked_instances('a@1', instances)[0]
         for instance in instances:
-            places.learn(instance.name, make_hint())
-        places.learn(home.name, make_hint(spare_slots=0))
-        assert places.candidates('a@1', instances)[0] != home
-        places.learn(home.name, make_hint('a@1', running=16, queued=160))
-        assert places.candidates('a@1', instances)[0] != home
+            places.apply_hint_header(instance.name, make_hint())
+        places.apply_hint_header(home.name, make_hint(spare_slots=0))
+        assert places.ranked_instances('a@1', instances)[0] != home
+        places.apply_hint_header(
+            home.name, make_hint('a@1', running=16, queued=160)
+        )
+        assert places.ranked_instances('a@1', instances)[0] != home
 
     def test_useless_ones_change_nothing(self, clock, instances):
         places = make_placement(clock)
-        before = places.candidates('a@1', instances)
+        before = places.ranked_instances('a@1', instances)
         for text in ('', 'x', 'AAAA', '=' * 5000):
-            places.learn(before[-1].name, text)
-        assert places.candidates('a@1', instances) == before
+            places.apply_hint_header(before[-1].name, text)
+        assert places.ranked_instances('a@1', instances) == before
 
     def test_forgets_instances_that_left(self, clock, instances):
         places = make_placement(clock)
         for instance in instances:
-            places.learn(instance.name, make_hint('a@1'))
+            places.apply_hint_header(instance.name, make_hint('a@1'))
         places.retain(instances[:1])
         assert set(places._states) == {instances[0].name}
 
@@ -309,17 +317,17 @@
                         spare_slots=source.randrange(4),
                     )
                     for places in (kept, fresh):
-                        places.learn(name, found)
+                        places.apply_hint_header(name, found)
                 case 1:
                     sent = contextlib.ExitStack()
                     for places in (kept, fresh):
-                        sent.enter_context(places.sent(key, name))
+                        sent.enter_context(places.track_request(key, name))
                     under_way.append(sent)
                 case 2 if under_way:
                     under_way.popleft().close()
-            chosen = kept.candidates(key, instances)
+            chosen = kept.ranked_instances(key, instances)
             # A list is weighed from nothing each time.
-            assert chosen == fresh.candidates(key, list(instances))
+            assert chosen == fresh.ranked_instances(key, list(instances))
 
     def test_successor_of_that_name_is_another(self, clock, instances):
         """A request goes to a port where nobody listens any more.
@@ -329,19 +337,19 @@
         """
         places = make_placement(clock)
         before = tuple(instances)
-        places.candidates('a@1', before)
+        places.ranked_instances('a@1', before)
         after = tuple(
             msgspec.structs.replace(instance, work_port=7)
             for instance in instances
         )
-        found = places.candidates('a@1', after)
+        found = places.ranked_instances('a@1', after)
         assert {instance.work_port for instance in found} == {7}
 
     def test_is_bounded(self, clock):
         places = make_placement(clock)
         for number in range(1000):
-            places.candidates('a@1', make_instances(1 + number % 3))
-        assert len(places._estimates) <= 64
+            places.ranked_instances('a@1', make_instances(1 + number % 3))
+        assert len(places._costs) <= 64
         assert all(len(s.columns) <= 64 for s in places._states.values())
 
 
@@ -351,14 +359,14 @@
     def used(self, clock, instances, stall_weight):
         places = make_placement(clock, stall_weight)
         for instance in instances:
-            places.learn(instance.name, make_hint(running=4))
+            places.apply_hint_header(instance.name, make_hint(running=4))
         chosen = []
         for number in range(400):
             clock.now_s += 0.2
             key = f'adapter-{number}@1'
-            chosen.append(places.candidates(key, instances)[0].name)
+            chosen.append(places.ranked_instances(key, instances)[0].name)
             for instance in instances:
-                places.learn(instance.name, make_hint(running=4))
+                places.apply_hint_header(instance.name, make_hint(running=4))
         return set(chosen[300:])
 
     def test_packs_for_efficiency_and_spreads_for_stalls(
@@ -382,11 +390,11 @@
             clock.now_s += 6.0
             await entry.locate(f'adapter-{number}@1', instances)
         question = homes.questions[-1]
-        used = {i.name for i in entry.candidates('a@1', instances)[:1]}
+        used = {i.name for i in entry.ranked_instances('a@1', instances)[:1]}
         parked = {
             i.name
             for i in instances
-            if directory.standing(i.name) < question.parked_below
+            if directory.retention_priority(i.name) < question.parked_below
         }
         assert len(parked) == 199
         assert not parked & used
@@ -403,7 +411,9 @@
         homes = FakeHomes(clock, [i.name for i in instances])
         entries = [make_placement(clock, homes=homes) for _ in range(3)]
         for number, entry in enumerate(entries):
-            entry.learn(instances[number].name, make_hint(spare_slots=8))
+            entry.apply_hint_header(
+                instances[number].name, make_hint(spare_slots=8)
+            )
         for number in range(20):
             key = f'adapter-{number}@1'
             chosen = {
@@ -445,11 +455,13 @@
         first = (await entry.locate('a@1', instances))[0]
         clock.now_s += passed_s
         for instance in instances:
-            entry.learn(instance.name, make_hint())
+            entry.apply_hint_header(instance.name, make_hint())
         for _ in range(20):
-            with entry.sent('a@1', first.name):
+            with entry.track_request('a@1', first.name):
                 pass
-        entry.learn(first.name, make_hint('a@1', running=16, queued=40))
+        entry.apply_hint_header(
+            first.name, make_hint('a@1', running=16, queued=40)
+        )
         assert (await entry.locate('a@1', instances))[0] != first
 
     async def test_instance_that_left_is_not_returned(self, clock, instances):
@@ -471,12 +483,12 @@
     def entry(self, clock, instances, homes):
         found = make_placement(clock, homes=homes)
         for instance in instances:
-            found.learn(instance.name, make_hint())
+            found.apply_hint_header(instance.name, make_hint())
         return found
 
     async def test_is_used_without_a_question(self, entry, homes, instances):
-        last = entry.candidates('a@1', instances)[-1]
-        entry.learn(last.name, make_hint('a@1'))
+        last = entry.ranked_instances('a@1', instances)[-1]
+        entry.apply_hint_header(last.name, make_hint('a@1'))
         assert (await entry.locate('a@1', instances))[0] == last
         assert not homes.asked
 
@@ -487,8 +499,10 @@
         clock.now_s += 15.0
         for instance in instances:
             running = 8 if instance == first else 0
-            entry.learn(instance.name, make_hint('a@1', running=running))
-        assert entry.candidates('a@1', instances)[-1] == first
+            entry.apply_hint_header(
+                instance.name, make_hint('a@1', running=running)
+            )
+        assert entry.ranked_instances('a@1', instances)[-1] == first
         assert (await entry.locate('a@1', instances))[0] == first
         assert len(homes.asked) == 1
 
@@ -505,11 +519,11 @@
         heard of, or leaves the list.  The cause would be trusting what
         was seen without an end.
         """
-        last = entry.candidates('a@1', instances)[-1]
-        entry.learn(last.name, make_hint('a@1'))
+        last = entry.ranked_instances('a@1', instances)[-1]
+        entry.apply_hint_header(last.name, make_hint('a@1'))
         left = instances
         if change == 'empty':
-            entry.learn(last.name, make_hint())
+            entry.apply_hint_header(last.name, make_hint())
         elif change == 'too old':
             clock.now_s += placement.HINT_AGE_S
         else:
@@ -533,7 +547,7 @@
         parked = next(i for i in instances if i != used)
         for _ in range(5):
             clock.now_s += 15.0
-            entry.learn(parked.name, make_hint('a@1'))
+            entry.apply_hint_header(parked.name, make_hint('a@1'))
             found = await entry.locate('a@1', instances)
         assert found[0] != parked
 
@@ -571,11 +585,11 @@
     async def test_leaves_parked_ones_after_a_least_stay(self, clock):
         places = directory.Directory(clock)
         await places.locate(self.request('x'))
-        below = directory.standing('x') + 1
+        below = directory.retention_priority('x') + 1
         reply = await places.locate(self.request('y', parked_below=below))
         assert reply.instances == ('x',)
         clock.now_s += 19.0
-        kept = directory.standing('x')
+        kept = directory.retention_priority('x')
         reply = await places.locate(self.request('y', parked_below=kept))
         assert reply.instances == ('x',)
         reply = await places.locate(self.request('y', parked_below=below))
@@ -614,9 +628,9 @@
     def test_one_that_started_again_holds_nothing(self, clock, instances):
         """Requests go to an engine that was emptied by its restart."""
         places = make_placement(clock)
-        places.learn('sidecar-1', make_hint('x'))
-        places.learn_listed('sidecar-1', ['x'])
-        assert places.candidates('x', instances)[0].name == 'sidecar-1'
-        places.forget('sidecar-1')
-        home = placement.rank('x', instances)[0]
-        assert places.candidates('x', instances)[0] == home
+        places.apply_hint_header('sidecar-1', make_hint('x'))
+        places.apply_listed_adapters('sidecar-1', ['x'])
+        assert places.ranked_instances('x', instances)[0].name == 'sidecar-1'
+        places.reset_instance('sidecar-1')
+        home = placement.rank_by_hash('x', instances)[0]
+        assert places.ranked_instances('x', instances)[0] == home
--- a/tests/test_platform_published.py
+++ b/tests/test_platform_published.py
@@ -220,7 +220,7 @@
             )
         )
         assert table.version == 5
-        assert versions.wanted('m', 'a') == 4
+        assert versions.required_version('m', 'a') == 4
         route = table.find('h.example', '/chat/x')
         assert route.is_resumable and route.is_stream
         assert route.timeout_s == 8.0
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -25,8 +25,8 @@
         settings.StoreSettings(loads_per_s=100.0, loads_at_once=1), run.random
     )
     engine = policy_machines.BenchEngine(store, 1, 1)
-    desk = policy.store_pacing.PermitDesk(clock, site.store, print)
-    slots = run._make_slots('engine', engine, desk, 1)
+    issuer = policy.store_pacing.PermitIssuer(clock, site.store, print)
+    slots = run._make_slots('engine', engine, issuer, 1)
     return slots, run._make_turns(engine, slots)
 
 
--- a/tests/test_place_forecast.py
+++ b/tests/test_slot_simulation.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from lacewingpitch import place_forecast
+from lacewingpitch import slot_simulation
 
-LOAD = place_forecast.Occupancy(load_s=0.25, use_s=1.0)
+LOAD = slot_simulation.Occupancy(load_s=0.25, use_s=1.0)
 
 
 def waits_s(free_in_s, load_count, count):
-    forecast = place_forecast.PlaceForecast(free_in_s, load_count)
-    return [forecast.take(LOAD).total_s for _ in range(count)]
+    forecast = slot_simulation.SlotSimulation(free_in_s, load_count)
+    return [forecast.assign_next(LOAD).total_s for _ in range(count)]
 
 
 class TestTake:
@@ -17,8 +17,8 @@
         assert waits_s([0.0, 2.0], 4, 1) == [0.25]
 
     def test_the_soonest_place_is_taken(self):
-        found = place_forecast.PlaceForecast([2.0, 0.5], 4).take(LOAD)
-        assert (found.place_s, found.load_s) == (0.5, 0.25)
+        found = slot_simulation.SlotSimulation([2.0, 0.5], 4).assign_next(LOAD)
+        assert (found.slot_s, found.load_s) == (0.5, 0.25)
 
     def test_those_ahead_keep_their_places(self):
         assert waits_s([0.0, 0.1], 4, 3) == pytest.approx([0.25, 0.35, 1.5])
@@ -32,7 +32,7 @@
 
 class TestRenewed:
     def test_an_adapter_that_nobody_asks_for_is_not_kept(self):
-        assert place_forecast.renewed_s(1.0, 0.0, 0.5) == 0.0
+        assert slot_simulation.busy_extension_s(1.0, 0.0, 0.5) == 0.0
 
     def test_a_hot_one_is_never_idle(self):
         """A request waits for a place that never comes free.
@@ -40,11 +40,11 @@
         The runs that are there end within half a second, but the adapter
         is asked for four times a second.
         """
-        found = place_forecast.renewed_s(0.5, 4.0, 0.8)
+        found = slot_simulation.busy_extension_s(0.5, 4.0, 0.8)
         assert found > 4.0
 
     def test_a_cold_one_is_kept_hardly_longer(self):
-        assert place_forecast.renewed_s(0.5, 0.1, 0.5) < 0.05
+        assert slot_simulation.busy_extension_s(0.5, 0.1, 0.5) < 0.05
 
     def test_is_bounded(self):
-        assert place_forecast.renewed_s(1.0, 1000.0, 9.0) < 1.0
+        assert slot_simulation.busy_extension_s(1.0, 1000.0, 9.0) < 1.0
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -411,7 +411,7 @@
             old = asyncio.create_task(use(slots, engine, 'a', 2.0))
             await asyncio.sleep(1.0)
             engine.restart()
-            slots.forget_all()
+            slots.clear_and_reload()
             new = asyncio.create_task(use(slots, engine, 'a', 60.0))
             await old
             for name in 'bcd':
@@ -429,7 +429,7 @@
             first = asyncio.create_task(use(slots, engine, 'a'))
             await asyncio.sleep(LOAD_S / 2)
             engine.restart()
-            slots.forget_all()
+            slots.clear_and_reload()
             assert slots.adapters == ()
             await first
             return engine.loads
@@ -443,7 +443,7 @@
             for _ in range(2):
                 await asyncio.sleep(LOAD_S / 2)
                 engine.restart()
-                slots.forget_all()
+                slots.clear_and_reload()
             return await first
 
         assert run_with(scenario) < 4 * LOAD_S
@@ -455,7 +455,7 @@
             await asyncio.sleep(LOAD_S / 2)
             engine.restart()
             engine.failing.add('a')
-            slots.forget_all()
+            slots.clear_and_reload()
             await asyncio.sleep(LOAD_S * 0.75)
             engine.failing.clear()
             stall_s = await waiting
@@ -472,7 +472,7 @@
             engine.restart()
             with pytest.raises(engine_module.AdapterMissingError):
                 await use(slots, engine, 'a')
-            slots.forget('a')
+            slots.remove('a')
             return await use(slots, engine, 'a')
 
         assert run_with(scenario) == pytest.approx(LOAD_S)
@@ -530,8 +530,8 @@
 
         async def scenario(slots, engine):
             engine.slot_count = 1
-            slots.limit(0)
-            slots.limit(1)
+            slots.limit_slot_count(0)
+            slots.limit_slot_count(1)
             for name in 'abc':
                 await use(slots, engine, name, 0.1)
             return engine.evictions
@@ -606,7 +606,7 @@
             if name not in self.engine.held:
                 # Only a restart that is not noticed yet explains it.
                 assert self.engine.unnoticed
-                self.slots.forget(name)
+                self.slots.remove(name)
                 return
             with self.engine.run(name):
                 self.holding.append((name, generation))
@@ -669,7 +669,7 @@
     def notice_restart(self):
         async def notice():
             if self.engine.unnoticed:
-                self.slots.forget_all()
+                self.slots.clear_and_reload()
                 self.engine.unnoticed = False
 
         self.wait(notice())
@@ -702,7 +702,7 @@
             self.engine.failing.clear()
             self.engine.restart()
             self.engine.running = {}
-            self.slots.forget_all()
+            self.slots.clear_and_reload()
             for _, done in self.tasks:
                 done.set()
             await asyncio.gather(
--- a/tests/test_store_pacing.py
+++ b/tests/test_store_pacing.py
@@ -26,7 +26,7 @@
 
 
 class DirectLink:
-    """A desk in this process that can be cut off or go deaf."""
+    """A issuer in this process that can be cut off or go deaf."""
 
     def __init__(self, store=HANEUL, sidecar_count=4):
         self.clock = virtual_time.LoopClock()
@@ -37,10 +37,10 @@
         self.loses_returns = False
         self.count = sidecar_count
         self.asks_count = 0
-        self.new_desk()
+        self.new_issuer()
 
-    def new_desk(self):
-        self.desk = store_pacing.PermitDesk(
+    def new_issuer(self):
+        self.issuer = store_pacing.PermitIssuer(
             self.clock, self.store, self._notify
         )
 
@@ -52,19 +52,19 @@
 
     def _notify(self, asker, grant):
         if not self.loses_grants:
-            self.pacers[asker].on_grant(grant)
+            self.pacers[asker].apply_grant(grant)
 
     async def ask(self, request):
         await asyncio.sleep(0.001)
         self.asks_count += 1
         if self.is_cut:
             raise errors.LinkError('cut')
-        return self.desk.ask(request)
+        return self.issuer.ask(request)
 
-    async def give_back(self, message):
+    async def release(self, message):
         if self.is_cut or self.loses_returns:
             raise errors.LinkError('cut')
-        self.desk.give_back(message.permit_id)
+        self.issuer.release(message.permit_id)
 
     def sidecar_count(self):
         return self.count
@@ -193,7 +193,7 @@
                 if number >= 20 and number % dead_every == 0:
                     # Dead, so that it neither gives back nor answers.
                     pacer = link.pacers[f'sidecar-{number}']
-                    pacer.on_grant = pacer._give_back = lambda message: None
+                    pacer.apply_grant = pacer._give_back = lambda message: None
                     task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             return loads, asyncio.get_running_loop().time()
@@ -202,7 +202,7 @@
         in_turn_s = len(loads.starts_s) / HANEUL.loads_per_s
         # The queue moves up as the dead are dropped, so one of many may
         # have its turn before it was to ask again.
-        lost_s = leases * store_pacing.LEASE_S
+        lost_s = leases * store_pacing.PERMIT_LEASE_S
         assert took_s <= in_turn_s + lost_s + 0.5
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.KILLED, Step.LOADING)
@@ -217,7 +217,7 @@
             link, loads = DirectLink(sidecar_count=1), Loads()
             loading = asyncio.create_task(load_all(link, loads, 40))
             await asyncio.sleep(3.0)
-            link.desk.close()
+            link.issuer.close()
             link.is_cut = True
             await loading
             return loads, asyncio.get_running_loop().time()
@@ -245,12 +245,12 @@
             await asyncio.gather(wanted(), *tasks)
             return started_s[0]
 
-        assert virtual_time.run(main()) < 3 * store_pacing.ASK_AGAIN_S
+        assert virtual_time.run(main()) < 3 * store_pacing.RETRY_INTERVAL_S
 
     def test_a_keeper_of_before_says_nothing_and_is_asked_as_before(self):
         old = msgspec.msgpack.encode({'granted': False})
         reply = msgspec.msgpack.decode(old, type=store_pacing.PermitReply)
-        assert reply.ask_again_s == store_pacing.ASK_AGAIN_S
+        assert reply.ask_again_s == store_pacing.RETRY_INTERVAL_S
 
 
 class TestLoss:
@@ -267,14 +267,14 @@
 
         async def main():
             link, loads = DirectLink(), Loads()
-            link.desk.ask(
+            link.issuer.ask(
                 store_pacing.PermitRequest(permit_id='d/1', asker='dead')
             )
             await loads.run(link.pacer('alive'))
             return loads.starts_s[0]
 
         started_s = virtual_time.run(main())
-        assert started_s <= store_pacing.LEASE_S + 0.1
+        assert started_s <= store_pacing.PERMIT_LEASE_S + 0.1
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.PARTITION, Step.LOADING)
     def test_cut_off_keeper_leaves_each_its_equal_share(self):
@@ -310,7 +310,7 @@
 
         loads, took_s = virtual_time.run(main())
         assert len(loads.starts_s) == 4
-        assert took_s < 4 * store_pacing.LEASE_S
+        assert took_s < 4 * store_pacing.PERMIT_LEASE_S
 
     def test_lost_returns_end_by_their_lease(self):
         async def main():
@@ -319,7 +319,7 @@
             await load_all(link, loads, 3)
             return asyncio.get_running_loop().time()
 
-        assert virtual_time.run(main()) < 3 * store_pacing.LEASE_S
+        assert virtual_time.run(main()) < 3 * store_pacing.PERMIT_LEASE_S
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.SAME_TWICE, Step.LOADING)
     def test_keeper_that_restarts_twice_serves_on(self):
@@ -328,8 +328,8 @@
             loading = asyncio.create_task(load_all(link, loads, 8))
             for _ in range(2):
                 await asyncio.sleep(1.2)
-                link.desk.close()
-                link.new_desk()
+                link.issuer.close()
+                link.new_issuer()
             await loading
             return loads
 
@@ -349,13 +349,13 @@
         async def main():
             link = DirectLink()
             pacer = link.pacer('late')
-            link.desk.ask(
+            link.issuer.ask(
                 store_pacing.PermitRequest(permit_id='late/x', asker='late')
             )
-            assert link.desk.held_count == 1
-            pacer.on_grant(store_pacing.PermitGrant(permit_id='late/x'))
+            assert link.issuer.held_count == 1
+            pacer.apply_grant(store_pacing.PermitGrant(permit_id='late/x'))
             await asyncio.sleep(0.01)
-            return link.desk.held_count
+            return link.issuer.held_count
 
         assert virtual_time.run(main()) == 0
 
@@ -369,7 +369,7 @@
             second.cancel()
             await first
             await asyncio.sleep(0.01)
-            return link.desk.held_count, len(loads.starts_s)
+            return link.issuer.held_count, len(loads.starts_s)
 
         assert virtual_time.run(main()) == (0, 1)
 
@@ -426,14 +426,14 @@
                 granted.set()
 
         async with sides[0].pacer.permit(lambda: 1.0):
-            assert sum(side.desk.held_count for side in sides) == 1
+            assert sum(side.issuer.held_count for side in sides) == 1
             second = asyncio.create_task(load_second())
-            while not any(side.desk.waiting_count for side in sides):
+            while not any(side.issuer.waiting_count for side in sides):
                 await asyncio.sleep(0.01)
             assert not granted.is_set()
         async with asyncio.timeout(30.0):
             await second
-            while any(side.desk.held_count for side in sides):
+            while any(side.issuer.held_count for side in sides):
                 await asyncio.sleep(0.01)
 
     async def test_home_answers_where_an_adapter_is_used(self, nodes):
--- a/tests/test_turn_source.py
+++ b/tests/test_turn_source.py
@@ -417,7 +417,7 @@
             max_running=16,
             load_wait_ms=0,
             spare_slots=9,
-            adapters=hint.join_fingerprints(['m/x']),
+            adapters=hint.encode_fingerprints(['m/x']),
         )
 
         async def story(scene):
