--- a/lacewingpitch/limit_handover.py
+++ b/lacewingpitch/limit_handover.py
@@ -62,7 +62,7 @@
 
     async def grant(self, ask: limit_lease.LeaseAsk) -> limit_lease.LeaseReply:
         """Lease what is there."""
-        if self._owner.to_adopt(ask.wants):
+        if self._owner.pending_handovers(ask.wants):
             # One at a time: an owner hands over once, and a second ask
             # must not start from nothing while that reply is under way.
             async with self._adopting:
@@ -76,9 +76,11 @@
         return self._owner.hand_over(message)
 
     async def _adopt(self, ask: limit_lease.LeaseAsk) -> None:
-        for previous, customers in self._owner.to_adopt(ask.wants).items():
+        for previous, customers in self._owner.pending_handovers(
+            ask.wants
+        ).items():
             reply = await self._ask(previous, customers)
-            self._owner.adopt(customers, reply)
+            self._owner.apply_handover(customers, reply)
 
     async def _ask(
         self, previous: live_list.Instance, customers: list[str]
--- a/lacewingpitch/limit_holding.py
+++ b/lacewingpitch/limit_holding.py
@@ -156,7 +156,10 @@
         # with places that are only leased.
         if self._has_surplus:
             return _SURPLUS_RATIO
-        return limit_lease.QUIET_RENEW_S / limit_lease.RENEW_S
+        return (
+            limit_lease.LONG_RENEWAL_INTERVAL_S
+            / limit_lease.RENEWAL_INTERVAL_S
+        )
 
     @property
     def may_ask(self) -> bool:
@@ -213,7 +216,7 @@
         allowed = self._waiting_allowed if self.is_leased else 0
         if self.is_cut_off:
             limit = self._limits.queued_requests
-            share = limit_lease.share(limit, self._entry_count)
+            share = limit_lease.unleased_share(limit, self._entry_count)
             allowed = max(allowed, share)
         return self.waiting < allowed
 
@@ -271,13 +274,13 @@
         # Also a holder that gets little of a limit in full use promises:
         # cut off, it would begin to admit its share.
         self._promised = self._arrived_per_s >= _STEADY_PER_S
-        ahead_s = limit_lease.RENEW_S * (1 + _HEADROOM_RATIO)
+        ahead_s = limit_lease.RENEWAL_INTERVAL_S * (1 + _HEADROOM_RATIO)
         target = math.ceil(self._demand_per_s * ahead_s) + pending
         target += self._spare(self._limits.burst_requests / _SPARE_RATIO)
         target_tokens: float = math.ceil(
             self._token_demand_per_s * ahead_s + pending_tokens
         )
-        capacity = self._limits.tokens_per_s * limit_lease.TOKEN_WINDOW_S
+        capacity = self._limits.tokens_per_s * limit_lease.TOKEN_BURST_S
         spare_calls = self._spare(capacity / self._estimate / _SPARE_RATIO)
         target_tokens += spare_calls * self._estimate
         if pending or target:
@@ -321,7 +324,9 @@
         # The time runs from before the message left, so a reply that was
         # long under way, or read by a process that was paused, is no
         # lease any more: the owner may have leased the places again.
-        self._expires_s = asked_s + limit_lease.lease_s(self._promised)
+        self._expires_s = asked_s + limit_lease.lease_duration_s(
+            self._promised
+        )
         self._requests += part.requests
         self._tokens += part.tokens
         self._running_allowed = part.running
@@ -355,7 +360,7 @@
             allowed = min(allowed, self._asked_running)
         if self.is_cut_off:
             limit = self._limits.concurrent_requests
-            share = limit_lease.share(limit, self._entry_count)
+            share = limit_lease.unleased_share(limit, self._entry_count)
             allowed = max(allowed, share)
         return allowed
 
@@ -374,9 +379,11 @@
 
     def _measure_demand(self, now_s: float) -> None:
         passed_s = now_s - self._asked_s
-        if passed_s < limit_lease.RENEW_S / 2:
+        if passed_s < limit_lease.RENEWAL_INTERVAL_S / 2:
             return
-        gain = 1 - (1 - _DEMAND_GAIN) ** (passed_s / limit_lease.RENEW_S)
+        gain = 1 - (1 - _DEMAND_GAIN) ** (
+            passed_s / limit_lease.RENEWAL_INTERVAL_S
+        )
         requests_per_s = self._admitted / passed_s
         tokens_per_s = max(0.0, self._charged) / passed_s
         arrived_per_s = self._arrived / passed_s
@@ -400,5 +407,5 @@
         )
         tokens_per_s = limits.tokens_per_s / count
         self._token_share.change(
-            tokens_per_s, tokens_per_s * limit_lease.TOKEN_WINDOW_S, now_s
+            tokens_per_s, tokens_per_s * limit_lease.TOKEN_BURST_S, now_s
         )
--- a/lacewingpitch/limit_lease.py
+++ b/lacewingpitch/limit_lease.py
@@ -1,10 +1,11 @@
-"""Leases of a customer's limits, from one owner to many holders.
-
-The owner of a customer's limits is one of the entry instances.  It has
-the customer's token buckets and hands out parts of them.  What it hands
-out is gone from its buckets, so the sum of what the holders spend cannot
-pass the contract however messages are lost or late.  Requests and tokens
-are spent; places (to run, to wait) are held and given back.
+"""Leases of a customer's limits: messages, and the owner that grants them.
+
+One entry instance, the owner, keeps the token buckets of a customer's
+limits.  The other entry instances, the holders, lease parts of them.  A
+leased part is deducted from the buckets at once, so the holders together
+cannot exceed the contract, however messages are lost or delayed.  Requests
+and tokens are consumed; slots, to run or to wait in the queue, are
+occupied and released.
 """
 
 from collections.abc import Sequence
@@ -22,33 +23,41 @@
 from lacewingpitch import token_bucket
 
 LEASE_S = 6.0
-RENEW_S = 2.0
-QUIET_LEASE_S = 30.0
-QUIET_RENEW_S = 20.0
-PAUSE_S = 2.0
-CONFIRM_S = 2.0
-HANDED_S = 60.0
-TOKEN_WINDOW_S = 10.0
+RENEWAL_INTERVAL_S = 2.0
+# For holders that don't commit to renew, see `lease_duration_s`.
+LONG_LEASE_DURATION_S = 30.0
+LONG_RENEWAL_INTERVAL_S = 20.0
+# A longer gap between two calls of the owner counts as a pause of its
+# process.
+PAUSE_THRESHOLD_S = 2.0
+# Time for a new instance list to arrive after a pause.
+PAUSE_RECOVERY_S = 2.0
+# After a handover, the previous owner refuses leases for at most this long.
+# A new owner asks for a handover only for as long.
+HANDOVER_RETENTION_S = 60.0
+# Capacity of the bucket of tokens, in seconds of its rate.
+TOKEN_BURST_S = 10.0
 _MIN_RETRY_S = 0.02
-_LEAST_RATIO = 0.001
-_MAX_HEARD = 1024
+_MIN_RATE_RATIO = 0.001
+_MAX_TRACKED_HOLDERS = 1024
 
 
 class LeaseWant(msgspec.Struct, frozen=True, array_like=True):
-    """What a holder wants for one customer.
+    """A holder's request for a part of one customer's limits.
 
     Parameters
     ----------
     requests, tokens
-        To be added to what it has.
+        Wanted in addition to what the holder has.
     running, waiting
-        Places that it wants to have in all.
+        Total number of slots wanted, to run and to wait in the queue.
     running_used, waiting_used
-        Places that its requests have now.
+        Slots that the holder's requests occupy now.
     requests_back, tokens_back
-        Given back; negative for a debt.
+        Returned to the owner's buckets; negative for a debt.
     renews
-        Whether it promises to ask again or to say that it stops.
+        Whether the holder commits to renew the lease, or to tell the
+        owner that it stops.
     """
 
     customer: str
@@ -64,12 +73,18 @@
 
 
 class LeaseAsk(link.Message, frozen=True, array_like=True):
-    """Asks an owner for leases of many customers at once.
+    """Requests leases of many customers' limits from one owner.
 
     Parameters
     ----------
+    holder
+        Name of the entry instance that asks.
+    incarnation
+        Random identifier of one run of the holder's process.
+    sequence
+        Rises with each message of one incarnation.
     reads_order
-        Whether the reply may leave the names out.
+        Whether the reply may omit the customers' names.
     """
 
     holder: str
@@ -80,12 +95,14 @@
 
 
 class LeasePart(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner leases of one customer's limits.
+    """The part of one customer's limits that an owner leases.
 
     Parameters
     ----------
+    running, waiting
+        Total number of slots that the holder has now.
     retry_after_s
-        When there is more; 0 if all that was wanted was granted.
+        Time until more is available; 0 if everything was granted.
     """
 
     customer: str
@@ -97,32 +114,38 @@
 
 
 class Moved(msgspec.Struct, frozen=True, array_like=True):
-    """Says who owns a customer now, to those whose list is older."""
+    """Redirects a holder with an older instance list to the new owner."""
 
     customer: str
     owner: live_list.Instance
 
 
 class LeaseReply(link.Message, frozen=True, array_like=True):
-    """Leases, without the customers that it does not own.
+    """The leases granted; customers that the sender doesn't own are absent.
 
-    Where all that was wanted is leased, the parts may be without names,
-    in the order of the wants.
+    If every customer asked for has a part, the parts may come without
+    names, in the order of the wants.
     """
 
     parts: tuple[LeasePart, ...] = ()
     moved: tuple[Moved, ...] = ()
 
     def by_customer(self, wanted: Sequence[str]) -> dict[str, LeasePart]:
-        """Return the parts of the customers that were `wanted`."""
+        """Return the parts by customer.
+
+        Parameters
+        ----------
+        wanted
+            The customers asked for, in the order of the wants.
+        """
         if len(self.parts) == len(wanted):
             if all(not part.customer for part in self.parts):
                 return dict(zip(wanted, self.parts, strict=True))
         return {part.customer: part for part in self.parts}
 
 
-class HandedPlaces(msgspec.Struct, frozen=True, array_like=True):
-    """Places that a holder has, told by one owner to the next."""
+class HolderSlots(msgspec.Struct, frozen=True, array_like=True):
+    """Slots that a holder has leased, as handed over to the next owner."""
 
     holder: str
     running: int
@@ -131,24 +154,24 @@
     renews: bool
 
 
-class HandedState(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner knew of one customer when it handed it over."""
+class LimitState(msgspec.Struct, frozen=True, array_like=True):
+    """State of one customer's limits, as handed over to the next owner."""
 
     customer: str
     requests: float
     tokens: float
-    places: tuple[HandedPlaces, ...] = ()
+    places: tuple[HolderSlots, ...] = ()
 
 
 class HandOver(link.Message, frozen=True):
-    """Asks an owner to stop, since the sender is the owner now.
+    """Asks the previous owner to stop granting leases.
 
     Parameters
     ----------
     owner
-        The sender.
+        The sender, which is the new owner.
     revision
-        Of the list by which it is the owner.
+        Revision of the instance list that makes it the owner.
     """
 
     owner: live_list.Instance
@@ -157,83 +180,83 @@
 
 
 class HandedOver(link.Message, frozen=True):
-    """A promise to lease no more of the customers that were asked for."""
+    """Confirms that the previous owner stopped granting leases."""
 
-    states: tuple[HandedState, ...] = ()
+    states: tuple[LimitState, ...] = ()
 
 
 class ContractLookup(Protocol):
-    """What an owner needs of the contracts in force."""
+    """Finds the contract in force of a customer."""
 
     def contract(self, customer: str) -> contract_module.Contract | None:
-        """Return the contract of a customer."""
+        """Return the contract of a customer; ``None`` if there is none."""
         ...
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
+class _HolderLease:
     running: int
     waiting: int
     expires_s: float
     renews: bool
-    wanted: float
+    wanted_requests: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Handed:
+class _Handover:
     to: live_list.Instance
     ring_version: int
     until_s: float
 
 
-class _Owned:
-    """The buckets and the places of one customer, at its owner."""
+class _OwnedLimit:
+    """The buckets and the leased slots of one customer, at its owner."""
 
-    __slots__ = ('requests', 'tokens', 'holders', 'settles_s')
+    __slots__ = ('requests', 'tokens', 'holders', 'holders_known_at_s')
 
     def __init__(
         self, limits: contract_module.Limits, ratio: float, now_s: float
     ) -> None:
         burst = limits.burst_requests
-        token_capacity = limits.tokens_per_s * TOKEN_WINDOW_S
+        token_capacity = limits.tokens_per_s * TOKEN_BURST_S
         self.requests = token_bucket.TokenBucket(
             limits.requests_per_s, burst, max(1.0, burst * ratio), now_s
         )
         self.tokens = token_bucket.TokenBucket(
             limits.tokens_per_s, token_capacity, token_capacity * ratio, now_s
         )
-        self.holders: dict[str, _Held] = {}
-        self.settles_s = now_s
+        self.holders: dict[str, _HolderLease] = {}
+        self.holders_known_at_s = now_s
 
     @classmethod
-    def adopt(
+    def from_handover(
         cls,
         limits: contract_module.Limits,
-        state: HandedState,
+        state: LimitState,
         now_s: float,
-    ) -> '_Owned':
-        """Go on from where the owner before stopped."""
+    ) -> '_OwnedLimit':
+        """Continue with the state that the previous owner handed over."""
         found = cls(limits, 1.0, now_s)
         found.requests.add(state.requests - limits.burst_requests, now_s)
         found.tokens.add(state.tokens - found.tokens.capacity, now_s)
-        for places in state.places:
-            found.holders[places.holder] = _Held(
-                places.running,
-                places.waiting,
-                now_s + min(places.expires_in_s, QUIET_LEASE_S),
-                places.renews,
+        for slots in state.places:
+            found.holders[slots.holder] = _HolderLease(
+                slots.running,
+                slots.waiting,
+                now_s + min(slots.expires_in_s, LONG_LEASE_DURATION_S),
+                slots.renews,
                 0.0,
             )
         return found
 
-    def handed(self, customer: str, now_s: float) -> HandedState:
-        """Return what the next owner must know."""
-        return HandedState(
+    def handover_state(self, customer: str, now_s: float) -> LimitState:
+        """Return the state that the next owner continues with."""
+        return LimitState(
             customer,
             self.requests.level(now_s),
             self.tokens.level(now_s),
             tuple(
-                HandedPlaces(
+                HolderSlots(
                     name,
                     held.running,
                     held.waiting,
@@ -244,45 +267,47 @@
             ),
         )
 
-    def change(
+    def apply_limits(
         self, limits: contract_module.Limits, ratio: float, now_s: float
     ) -> None:
-        """Put a part of the limits in force."""
-        ratio = max(ratio, _LEAST_RATIO)
+        """Set the buckets to `ratio` of the contract's rates."""
+        ratio = max(ratio, _MIN_RATE_RATIO)
         self.requests.change(
             limits.requests_per_s * ratio, limits.burst_requests, now_s
         )
         self.tokens.change(
             limits.tokens_per_s * ratio,
-            limits.tokens_per_s * TOKEN_WINDOW_S,
+            limits.tokens_per_s * TOKEN_BURST_S,
             now_s,
         )
 
-    def silent_count(self, holder: str, now_s: float) -> int:
-        # A holder that promised to ask again and does not may be cut off:
-        # it admits its share of the limit without asking.  The share is
-        # kept free here, or both sides together would pass the contract.
+    def unresponsive_holder_count(self, holder: str, now_s: float) -> int:
+        # A holder that committed to renew and did not may be partitioned
+        # off, and then admits its share of the limit without a lease.  The
+        # share is reserved here, or both sides together would exceed the
+        # contract.
         return sum(
             name != holder and held.expires_s <= now_s
             for name, held in self.holders.items()
         )
 
-    def spread(self, holder: str, want: LeaseWant) -> float:
+    def demand_ratio(self, holder: str, want: LeaseWant) -> float:
+        """Return this holder's part of the demand of all holders."""
         others = sum(
-            held.wanted
+            held.wanted_requests
             for name, held in self.holders.items()
             if name != holder
         )
         return want.requests / max(1.0, want.requests + others)
 
-    def hold(
+    def lease_slots(
         self,
         holder: str,
         want: LeaseWant,
         limits: contract_module.Limits,
-        entries: int,
+        entry_count: int,
         now_s: float,
-    ) -> _Held:
+    ) -> _HolderLease:
         running_free = limits.concurrent_requests
         waiting_free = limits.queued_requests
         for name, held in self.holders.items():
@@ -292,20 +317,26 @@
                 running_free -= held.running
                 waiting_free -= held.waiting
             else:
-                running_free -= share(limits.concurrent_requests, entries)
-                waiting_free -= share(limits.queued_requests, entries)
-        # A new owner that was told nothing does not know yet who holds
-        # places.  All that do ask within a lease; until then it leases
-        # no more than each may use without it.
-        if now_s < self.settles_s:
-            running_share = share(limits.concurrent_requests, entries)
-            waiting_share = share(limits.queued_requests, entries)
-            running_free = min(running_free, running_share)
-            waiting_free = min(waiting_free, waiting_share)
-        held = _Held(
+                running_free -= unleased_share(
+                    limits.concurrent_requests, entry_count
+                )
+                waiting_free -= unleased_share(
+                    limits.queued_requests, entry_count
+                )
+        # A new owner without a handover doesn't know who holds slots.  All
+        # holders ask within the duration of a lease; until then each gets
+        # no more than the share that it may use without a lease.
+        if now_s < self.holders_known_at_s:
+            running_limit = unleased_share(
+                limits.concurrent_requests, entry_count
+            )
+            waiting_limit = unleased_share(limits.queued_requests, entry_count)
+            running_free = min(running_free, running_limit)
+            waiting_free = min(waiting_free, waiting_limit)
+        held = _HolderLease(
             max(want.running_used, min(want.running, running_free)),
             max(want.waiting_used, min(want.waiting, waiting_free)),
-            now_s + lease_s(want.renews),
+            now_s + lease_duration_s(want.renews),
             want.renews,
             want.requests,
         )
@@ -324,7 +355,7 @@
             wait_s = self.requests.wait_s(1.0, now_s)
         if tokens <= 0 < want.tokens:
             wait_s = max(wait_s, self.tokens.wait_s(1.0, now_s))
-        # A whole number takes a byte in a message, 0.0 takes nine.
+        # In msgpack the integer 0 takes one byte, and 0.0 takes nine.
         return max(_MIN_RETRY_S, wait_s) if wait_s else 0
 
     def is_idle(self, now_s: float) -> bool:
@@ -335,29 +366,29 @@
         )
 
 
-def lease_s(renews: bool) -> float:
-    """Return how long a lease lasts, the same for owner and holder.
+def lease_duration_s(renews: bool) -> float:
+    """Return the duration of a lease, the same for owner and holder.
 
-    Most holders have a call or two that run for long.  Their leases are
-    long, or renewing them would be most of all messages.
+    Most holders have only one or two long-running requests.  Their leases
+    last longer, or renewals would be most of all messages.
     """
-    return LEASE_S if renews else QUIET_LEASE_S
+    return LEASE_S if renews else LONG_LEASE_DURATION_S
 
 
-def share(limit: int, entry_count: int) -> int:
-    """Return the places that an entry instance may use without a lease."""
+def unleased_share(limit: int, entry_count: int) -> int:
+    """Return how many slots an entry instance may use without a lease."""
     return max(1, limit // entry_count)
 
 
 class LeaseOwner:
-    """Leases the limits of the customers that this instance owns.
+    """Grants leases of the limits that this instance owns.
 
     Parameters
     ----------
     clock
         Source of time.
     ring
-        Says who owns which customer.
+        Maps customers to the entry instances that own their limits.
     contracts
         The contracts in force.
     """
@@ -371,61 +402,66 @@
         self._clock = clock
         self._ring = ring
         self._contracts = contracts
-        self._owned: dict[str, _Owned] = {}
-        self._heard: dict[str, tuple[str, int]] = {}
-        self._handed: dict[str, _Handed] = {}
-        self._ticked_s = clock.monotonic_s()
+        self._owned: dict[str, _OwnedLimit] = {}
+        self._last_asks: dict[str, tuple[str, int]] = {}
+        self._handovers: dict[str, _Handover] = {}
+        self._last_active_s = clock.monotonic_s()
         self._grants_from_s = 0.0
 
     def __len__(self) -> int:
         return len(self._owned)
 
     def grant(self, ask: LeaseAsk) -> LeaseReply:
-        """Lease what is there, for the customers owned here."""
+        """Grant the available part of what is asked for.
+
+        Customers owned by another instance get no part.  A repeated
+        message, and any message shortly after a pause of this process,
+        gets an empty reply.
+        """
         now_s = self._clock.monotonic_s()
-        self._note_pause(now_s)
+        self._detect_pause(now_s)
         if now_s < self._grants_from_s or not self._is_new(ask):
             return LeaseReply()
-        named = [self._grant_one(ask.holder, w, now_s) for w in ask.wants]
+        named = [self._grant_customer(ask.holder, w, now_s) for w in ask.wants]
         parts = tuple(part for part in named if part is not None)
         if ask.reads_order and len(parts) == len(ask.wants):
             parts = tuple(
                 msgspec.structs.replace(part, customer='') for part in parts
             )
         moved = tuple(
-            Moved(want.customer, self._handed[want.customer].to)
+            Moved(want.customer, self._handovers[want.customer].to)
             for want in ask.wants
-            if self._is_handed(want.customer, now_s)
+            if self._is_handed_over(want.customer, now_s)
         )
         return LeaseReply(parts=parts, moved=moved)
 
     def tick(self) -> None:
-        """Note the time, and drop the state of idle customers."""
+        """Detect a pause of this process, and drop idle customers."""
         now_s = self._clock.monotonic_s()
-        self._note_pause(now_s)
+        self._detect_pause(now_s)
         for customer, owned in list(self._owned.items()):
             self._drop_expired(owned, now_s)
-            # A full bucket without leases is what a new state starts
-            # with, so an idle customer loses nothing by being dropped.
-            if owned.is_idle(now_s) or self._is_left_over(customer, now_s):
+            # New state starts with full buckets and without leases, so an
+            # idle customer loses nothing when its state is dropped.
+            if owned.is_idle(now_s) or self._is_stale(customer, now_s):
                 del self._owned[customer]
-        for customer in list(self._handed):
-            if not self._is_handed(customer, now_s):
-                del self._handed[customer]
-        if len(self._heard) > _MAX_HEARD:
-            self._heard = {
-                name: heard
-                for name, heard in self._heard.items()
+        for customer in list(self._handovers):
+            if not self._is_handed_over(customer, now_s):
+                del self._handovers[customer]
+        if len(self._last_asks) > _MAX_TRACKED_HOLDERS:
+            self._last_asks = {
+                name: last_ask
+                for name, last_ask in self._last_asks.items()
                 if self._ring.is_listed(name)
             }
 
-    def to_adopt(
+    def pending_handovers(
         self, wants: Sequence[LeaseWant]
     ) -> dict[live_list.Instance, list[str]]:
-        """Return whose owners before this one are to be asked, by them."""
+        """Return the customers to be handed over, by their previous owner."""
         found: dict[live_list.Instance, list[str]] = {}
         now_s = self._clock.monotonic_s()
-        self._note_pause(now_s)
+        self._detect_pause(now_s)
         if now_s < self._grants_from_s:
             return found
         for want in wants:
@@ -435,15 +471,21 @@
             customer, region = contract.customer, contract.region
             if self._ring.owner(customer, region) is not None:
                 continue
-            if self._ring.owned_for_s(customer, region) > HANDED_S:
+            if self._ring.owned_for_s(customer, region) > HANDOVER_RETENTION_S:
                 continue
             previous = self._ring.previous_owner(customer, region)
             if previous is not None:
                 found.setdefault(previous, []).append(customer)
         return found
 
-    def adopt(self, customers: Sequence[str], reply: HandedOver) -> None:
-        """Go on from where the owner before stopped, if it said so."""
+    def apply_handover(
+        self, customers: Sequence[str], reply: HandedOver
+    ) -> None:
+        """Take over the limits of `customers`.
+
+        A customer whose state is not in the reply starts with a share of
+        its burst.
+        """
         now_s = self._clock.monotonic_s()
         states = {state.customer: state for state in reply.states}
         for customer in customers:
@@ -452,16 +494,16 @@
                 continue
             state = states.get(customer)
             if state is None:
-                self._find(contract, now_s)
+                self._get_or_create(contract, now_s)
             else:
-                self._owned[customer] = _Owned.adopt(
+                self._owned[customer] = _OwnedLimit.from_handover(
                     contract.limits, state, now_s
                 )
 
     def hand_over(self, message: HandOver) -> HandedOver:
-        """Stop leasing, and tell the next owner what it must know."""
+        """Stop granting leases, and return the state for the next owner."""
         now_s = self._clock.monotonic_s()
-        self._note_pause(now_s)
+        self._detect_pause(now_s)
         states = []
         for customer in message.customers:
             if not self._may_hand_over(customer, message):
@@ -469,20 +511,24 @@
             owned = self._owned.pop(customer, None)
             if owned is None and self._is_owner(customer, now_s):
                 contract = self._contracts.contract(customer)
-                owned = self._find(contract, now_s) if contract else None
+                owned = (
+                    self._get_or_create(contract, now_s) if contract else None
+                )
                 self._owned.pop(customer, None)
             if owned is not None:
-                states.append(owned.handed(customer, now_s))
-            # While the list lags here, this instance still holds itself
-            # for the owner; two of them would lease the limit twice.
-            self._handed[customer] = _Handed(
-                message.owner, self._ring.version, now_s + HANDED_S
+                states.append(owned.handover_state(customer, now_s))
+            # While the instance list lags here, it still names this
+            # instance as the owner.  Two owners would lease the limit
+            # twice.
+            self._handovers[customer] = _Handover(
+                message.owner, self._ring.version, now_s + HANDOVER_RETENTION_S
             )
         return HandedOver(states=tuple(states))
 
     def _may_hand_over(self, customer: str, message: HandOver) -> bool:
-        # A paused instance wakes up with an old list and holds itself for
-        # the owner: it must not take the limits from the owner of today.
+        # An instance that resumes after a pause may have an old list in
+        # which it is the owner.  It must not take the limits from the
+        # current owner.
         if message.revision > self._ring.revision:
             return True
         contract = self._contracts.contract(customer)
@@ -495,45 +541,45 @@
         contract = self._contracts.contract(customer)
         if contract is None or now_s < self._grants_from_s:
             return False
-        if self._is_handed(customer, now_s):
+        if self._is_handed_over(customer, now_s):
             return False
         return self._ring.owner(customer, contract.region) is None
 
-    def _is_handed(self, customer: str, now_s: float) -> bool:
-        found = self._handed.get(customer)
+    def _is_handed_over(self, customer: str, now_s: float) -> bool:
+        found = self._handovers.get(customer)
         if found is None or found.ring_version != self._ring.version:
             return False
         return now_s < found.until_s
 
-    def _is_left_over(self, customer: str, now_s: float) -> bool:
+    def _is_stale(self, customer: str, now_s: float) -> bool:
         owned = self._owned[customer]
         held = owned.holders.values()
         if any(holder.expires_s > now_s for holder in held):
             return False
         return not self._is_owner(customer, now_s)
 
-    def _note_pause(self, now_s: float) -> None:
+    def _detect_pause(self, now_s: float) -> None:
         # An owner that was paused may have a successor, and its buckets
         # have refilled meanwhile: the customer would get a second burst
-        # and a second rate.  So it starts anew, with a share of the burst,
-        # and grants nothing until the list had time to reach it.
-        if now_s - self._ticked_s > PAUSE_S:
+        # and a second rate.  So it drops its state, starts with a share of
+        # the burst, and grants nothing until a new list had time to arrive.
+        if now_s - self._last_active_s > PAUSE_THRESHOLD_S:
             self._owned.clear()
             self._ring.restart()
-            self._grants_from_s = now_s + CONFIRM_S
-        self._ticked_s = now_s
+            self._grants_from_s = now_s + PAUSE_RECOVERY_S
+        self._last_active_s = now_s
 
     def _is_new(self, ask: LeaseAsk) -> bool:
-        # A message may arrive twice; what it gives back must be credited
-        # once, or the customer could spend it twice.
-        heard = self._heard.get(ask.holder)
-        if heard is not None and heard[0] == ask.incarnation:
-            if ask.sequence <= heard[1]:
+        # A message may be delivered twice.  What it returns must be
+        # credited once, or the customer could spend it twice.
+        last_ask = self._last_asks.get(ask.holder)
+        if last_ask is not None and last_ask[0] == ask.incarnation:
+            if ask.sequence <= last_ask[1]:
                 return False
-        self._heard[ask.holder] = (ask.incarnation, ask.sequence)
+        self._last_asks[ask.holder] = (ask.incarnation, ask.sequence)
         return True
 
-    def _grant_one(
+    def _grant_customer(
         self, holder: str, want: LeaseWant, now_s: float
     ) -> LeasePart | None:
         contract = self._contracts.contract(want.customer)
@@ -542,21 +588,25 @@
         if not self._is_owner(want.customer, now_s):
             return None
         limits = contract.limits
-        owned = self._find(contract, now_s)
+        owned = self._get_or_create(contract, now_s)
         self._drop_expired(owned, now_s)
-        silent = owned.silent_count(holder, now_s)
-        entries = self._ring.entry_count(contract.region)
-        owned.change(limits, 1 - silent / entries, now_s)
+        unresponsive_count = owned.unresponsive_holder_count(holder, now_s)
+        entry_count = self._ring.entry_count(contract.region)
+        owned.apply_limits(limits, 1 - unresponsive_count / entry_count, now_s)
         owned.requests.add(want.requests_back, now_s)
         owned.tokens.add(want.tokens_back, now_s)
-        spread = owned.spread(holder, want)
-        requests = _part(want.requests, owned.requests.level(now_s), spread)
+        demand_ratio = owned.demand_ratio(holder, want)
+        requests = _grantable(
+            want.requests, owned.requests.level(now_s), demand_ratio
+        )
         requests = math.floor(requests)
-        tokens = _part(want.tokens, owned.tokens.level(now_s), spread)
+        tokens = _grantable(
+            want.tokens, owned.tokens.level(now_s), demand_ratio
+        )
         tokens = math.floor(tokens)
         owned.requests.add(-requests, now_s)
         owned.tokens.add(-tokens, now_s)
-        held = owned.hold(holder, want, limits, entries, now_s)
+        held = owned.lease_slots(holder, want, limits, entry_count, now_s)
         return LeasePart(
             want.customer,
             requests,
@@ -566,25 +616,25 @@
             owned.retry_after_s(want, requests, tokens, now_s),
         )
 
-    def _find(
+    def _get_or_create(
         self, contract: contract_module.Contract, now_s: float
-    ) -> _Owned:
+    ) -> _OwnedLimit:
         customer, region = contract.customer, contract.region
         found = self._owned.get(customer)
         if found is None:
-            # No state means an idle customer, or an owner that is new and
-            # knows nothing of what the one before it handed out: a whole
-            # burst would be doubled.  Such an owner starts with a share
-            # of the burst, and with what came in since.
+            # Without state, the customer is idle, or this owner is new and
+            # doesn't know what its predecessor leased: a full burst could
+            # then be granted twice.  A new owner starts with a share of
+            # the burst, plus what has refilled since it became the owner.
             age_s = self._ring.owned_for_s(customer, region)
             limits = contract.limits
             refill = age_s * limits.requests_per_s / limits.burst_requests
             ratio = min(1.0, 1 / self._ring.entry_count(region) + refill)
-            found = self._owned[customer] = _Owned(limits, ratio, now_s)
-            found.settles_s = now_s - age_s + LEASE_S
+            found = self._owned[customer] = _OwnedLimit(limits, ratio, now_s)
+            found.holders_known_at_s = now_s - age_s + LEASE_S
         return found
 
-    def _drop_expired(self, owned: _Owned, now_s: float) -> None:
+    def _drop_expired(self, owned: _OwnedLimit, now_s: float) -> None:
         for name, held in list(owned.holders.items()):
             if held.expires_s > now_s:
                 continue
@@ -592,7 +642,7 @@
                 del owned.holders[name]
 
 
-def _part(wanted: float, level: float, spread: float) -> float:
+def _grantable(wanted: float, level: float, demand_ratio: float) -> float:
     if wanted <= level:
         return max(0.0, wanted)
-    return max(min(1.0, level), level * spread, 0.0)
+    return max(min(1.0, level), level * demand_ratio, 0.0)
--- a/lacewingpitch/limits.py
+++ b/lacewingpitch/limits.py
@@ -171,7 +171,7 @@
         RefusalError
             The customer is at a limit; says when to come back.
         """
-        capacity = contract.limits.tokens_per_s * limit_lease.TOKEN_WINDOW_S
+        capacity = contract.limits.tokens_per_s * limit_lease.TOKEN_BURST_S
         tokens = min(float(max_tokens or UNSTATED_TOKENS), capacity)
         customer = self._customer(contract)
         await self._spend(customer, tokens)
@@ -215,9 +215,11 @@
                 del self._customers[name]
                 continue
             self._locate(customer)
-            if customer.queue or holding.needs_renewal(limit_lease.RENEW_S):
+            if customer.queue or holding.needs_renewal(
+                limit_lease.RENEWAL_INTERVAL_S
+            ):
                 self._probe(customer)
-            elif holding.needs_renewal(limit_lease.RENEW_S / 2):
+            elif holding.needs_renewal(limit_lease.RENEWAL_INTERVAL_S / 2):
                 self._owners[customer.owner_name].soon.add(name)
         self._forget_owners()
 
--- a/tests/test_limit_holding.py
+++ b/tests/test_limit_holding.py
@@ -38,7 +38,7 @@
 
     def test_lapses(self, holding, clock):
         lease(holding, clock, requests=2, tokens=10, running=1)
-        clock.now_s += limit_lease.QUIET_LEASE_S
+        clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         assert not holding.spend(1)
         assert not holding.has_place()
 
@@ -50,7 +50,7 @@
         The cause would be a lease that runs from when the reply is read.
         """
         asked_s = clock.now_s
-        clock.now_s += limit_lease.QUIET_LEASE_S
+        clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         lease(holding, clock, asked_s, requests=2, tokens=10, running=1)
         assert not holding.spend(1)
         assert not holding.has_place()
@@ -81,7 +81,7 @@
         """
         lease(holding, clock, requests=1, tokens=1, running=1)
         holding.renew_now()
-        assert holding.needs_renewal(limit_lease.RENEW_S)
+        assert holding.needs_renewal(limit_lease.RENEWAL_INTERVAL_S)
 
     @pytest.mark.parametrize(('calls', 'renews'), [(1, 0), (2, 0), (4, 1)])
     def test_is_renewed_soon_only_where_calls_are_frequent(
@@ -89,8 +89,8 @@
     ):
         lease(holding, clock, requests=calls, tokens=99, running=calls)
         holding.running = sum(holding.spend(1) for _ in range(calls))
-        clock.now_s += 1.05 * limit_lease.RENEW_S
-        assert holding.needs_renewal(limit_lease.RENEW_S) == renews
+        clock.now_s += 1.05 * limit_lease.RENEWAL_INTERVAL_S
+        assert holding.needs_renewal(limit_lease.RENEWAL_INTERVAL_S) == renews
 
     @pytest.mark.parametrize(('places', 'is_told'), [(40, False), (39, True)])
     def test_only_of_a_large_limit_a_call_is_kept_ahead(
@@ -107,11 +107,11 @@
         ahead = holding.want(1, 1).running
         assert ahead == (1 if is_told else 2)
         lease(holding, clock, requests=1, tokens=9, running=ahead)
-        clock.now_s += 2.1 * limit_lease.RENEW_S
-        assert holding.needs_renewal(limit_lease.RENEW_S) == is_told
+        clock.now_s += 2.1 * limit_lease.RENEWAL_INTERVAL_S
+        assert holding.needs_renewal(limit_lease.RENEWAL_INTERVAL_S) == is_told
         # Where it stays, nobody is told, and the owner has it again when
         # the lease lapses.
-        clock.now_s += limit_lease.QUIET_LEASE_S
+        clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         assert not holding.has_place()
 
     def test_asks_again_while_the_queue_may_have_room(self, holding, clock):
--- a/tests/test_limit_lease.py
+++ b/tests/test_limit_lease.py
@@ -180,14 +180,14 @@
         new_name = found.name if found else rest[0].name
         new = table.owners[new_name]
         ask = table.ask('entry-2', requests=5, running=PLACES)
-        asked = new.to_adopt(ask.wants)
+        asked = new.pending_handovers(ask.wants)
         assert [previous.name for previous in asked] == [old_name]
         message = limit_lease.HandOver(
             owner=table.rings[new_name].this_instance(),
             revision=2,
             customers=(CUSTOMER,),
         )
-        new.adopt((CUSTOMER,), old.hand_over(message))
+        new.apply_handover((CUSTOMER,), old.hand_over(message))
         part = new.grant(ask).parts[0]
         assert (part.requests, part.running) == (0, PLACES - 4)
         reply = old.grant(table.ask('entry-1', requests=1))
@@ -223,10 +223,10 @@
         table.clock.now_s += 30
         assert table.lease(requests=BURST) is None
         want = limit_lease.LeaseWant(CUSTOMER, requests=1)
-        assert not table.owner.to_adopt([want])
-        table.age(limit_lease.CONFIRM_S)
+        assert not table.owner.pending_handovers([want])
+        table.age(limit_lease.PAUSE_RECOVERY_S)
         part = table.lease(requests=BURST)
-        most = BURST / 3 + RATE_PER_S * limit_lease.CONFIRM_S
+        most = BURST / 3 + RATE_PER_S * limit_lease.PAUSE_RECOVERY_S
         assert 0 < part.requests <= most + 1
 
     def test_leases_only_shares_of_places_until_all_have_asked(self):
@@ -320,7 +320,7 @@
     def pause(self, seconds):
         self.table.clock.now_s += seconds
         self._add(RATE_PER_S * seconds)
-        if seconds > limit_lease.PAUSE_S:
+        if seconds > limit_lease.PAUSE_THRESHOLD_S:
             self._start_anew()
 
     def move(self):
@@ -398,7 +398,7 @@
         for holder, running, passed_s in asks:
             table.age(passed_s)
             part = table.lease(holder, running=running)
-            expires_s = table.clock.now_s + limit_lease.QUIET_LEASE_S
+            expires_s = table.clock.now_s + limit_lease.LONG_LEASE_DURATION_S
             held[holder] = (part.running, expires_s)
             in_force = sum(
                 places
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -122,7 +122,7 @@
     @in_virtual_time
     async def test_tokens_are_corrected_when_the_answer_ends(self, entries):
         entry = others(entries)[0]
-        generated = TOKENS_PER_S * limit_lease.TOKEN_WINDOW_S + 200
+        generated = TOKENS_PER_S * limit_lease.TOKEN_BURST_S + 200
         await call(entry, entries.contract, max_tokens=10, tokens=generated)
         error = await call(entry, entries.contract)
         assert error.kind is ErrorKind.RATE_LIMITED
