--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -33,15 +33,15 @@
 from lacewingpitch import ballot
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract as contract_module
-from lacewingpitch import contract_book
 from lacewingpitch import contract_gossip
+from lacewingpitch import contract_registry
 from lacewingpitch import contract_versions
 from lacewingpitch import directory
-from lacewingpitch import entry_ring
 from lacewingpitch import hint as hint_module
+from lacewingpitch import leased_limit
 from lacewingpitch import ledger
-from lacewingpitch import limit_holding
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from lacewingpitch import link
 from lacewingpitch import live_list
 from lacewingpitch import membership
@@ -155,14 +155,14 @@
     ]
 
 
-def make_book(
+def make_registry(
     contracts: Sequence[bytes], capacity: int | None = None
-) -> contract_book.ContractBook:
-    """Return a book that read these contracts."""
-    book = contract_book.ContractBook(capacity)
+) -> contract_registry.ContractRegistry:
+    """Return a registry that read these contracts."""
+    registry = contract_registry.ContractRegistry(capacity)
     for raw in contracts:
-        book.accept_json(raw, 'bench')
-    return book
+        registry.accept_json(raw, 'bench')
+    return registry
 
 
 def measure_contracts():
@@ -172,20 +172,20 @@
     for count in CONTRACTS:
         contracts = encoded_contracts(count)
         started_s = time.process_time()
-        book = make_book(contracts)
+        registry = make_registry(contracts)
         takes.append((time.process_time() - started_s) * _US)
         bytes_sent.append(sum(map(len, contracts)))
         leaves = range(contract_versions.LEAF_COUNT)
         all_versions.append(
-            len(msgspec.msgpack.encode(book.versions.in_leaves(leaves)))
+            len(msgspec.msgpack.encode(registry.versions.in_leaves(leaves)))
         )
         step = count // _LOOK_UPS
         keys = [f'key-{number}' for number in range(0, count, step)]
-        lookups.append(slopes.least_us(len(keys), _look_up, book, keys))
-        del book
-        held.append(slopes.held_bytes(make_book, contracts))
+        lookups.append(slopes.least_us(len(keys), _look_up, registry, keys))
+        del registry
+        held.append(slopes.held_bytes(make_registry, contracts))
         versions.append(
-            slopes.held_bytes(make_book, contracts, SIDECAR_CONTRACTS)
+            slopes.held_bytes(make_registry, contracts, SIDECAR_CONTRACTS)
         )
     return [
         slopes.Slope('contract held at an entry', 'B', CONTRACTS, held),
@@ -199,10 +199,12 @@
     ]
 
 
-def _look_up(book: contract_book.ContractBook, keys: Sequence[str]) -> None:
+def _look_up(
+    registry: contract_registry.ContractRegistry, keys: Sequence[str]
+) -> None:
     for key in keys:
-        found = book.authenticate(key)
-        book.contract(found.customer)
+        found = registry.authenticate(key)
+        registry.contract(found.customer)
 
 
 def measure_membership():
@@ -480,7 +482,7 @@
 
 def measure_limits():
     """Leases at holder and owner, and the bytes of an exchange."""
-    holding = [slopes.held_bytes(_holdings, count) for count in ACTIVE]
+    leased = [slopes.held_bytes(_leased_limits, count) for count in ACTIVE]
     owning = []
     for count in ACTIVE:
         contracts = {c.customer: c for c in map(make_contract, range(count))}
@@ -490,7 +492,7 @@
     for count in WANTS:
         contracts = {c.customer: c for c in map(make_contract, range(count))}
         owner = _owner(contracts, 1)
-        held = _holdings(count)
+        held = _leased_limits(count)
         numbers = itertools.count(2)
         reply = owner.grant(_ask(held, 'entry-0001', 1))
         ask = _ask(held, 'entry-0001', next(numbers))
@@ -499,15 +501,15 @@
         times.append(slopes.least_us(1, _renew, sealer, owner, held, numbers))
     owners = []
     for count in ENTRIES:
-        ring = _ring(count)
+        ownership = _ownership(count)
         keys = [f'customer-{number:05}' for number in range(_PROBE_KEYS)]
         owners.append(
             slopes.least_us(
-                len(keys), slopes.for_each, ring.owner, keys, 'region-0'
+                len(keys), slopes.for_each, ownership.owner, keys, 'region-0'
             )
         )
     return [
-        slopes.Slope('customer held in LimitHolding', 'B', ACTIVE, holding),
+        slopes.Slope('customer held in LeasedLimit', 'B', ACTIVE, leased),
         slopes.Slope('customer owned, of 5 holders', 'B', ACTIVE, owning),
         slopes.Slope('exchange of leases, by customers', 'B', WANTS, sizes),
         slopes.Slope('the same, without the link', 'us', WANTS, times),
@@ -520,32 +522,32 @@
         self.contract = contracts.get
 
 
-def _ring(count: int) -> entry_ring.EntryRing:
-    ring = entry_ring.EntryRing(
+def _ownership(count: int) -> limit_ownership.LimitOwnership:
+    ownership = limit_ownership.LimitOwnership(
         clock_module.SystemClock(), 'entry-0000', 'region-0'
     )
-    ring.update(
+    ownership.update(
         1,
         [
             msgspec.structs.replace(instance, region='region-0')
             for instance in make_instances(count, 1.0)
         ],
     )
-    return ring
+    return ownership
 
 
-def _holdings(count: int) -> list[limit_holding.LimitHolding]:
+def _leased_limits(count: int) -> list[leased_limit.LeasedLimit]:
     clock = clock_module.SystemClock()
     return [
-        limit_holding.LimitHolding(clock, make_contract(number), 95)
+        leased_limit.LeasedLimit(clock, make_contract(number), 95)
         for number in range(count)
     ]
 
 
 def _ask(
-    held: Sequence[limit_holding.LimitHolding], holder: str, sequence: int
+    held: Sequence[leased_limit.LeasedLimit], holder: str, sequence: int
 ) -> limit_lease.LeaseAsk:
-    wants = tuple(holding.want(1, 300.0) for holding in held)
+    wants = tuple(leased.want(1, 300.0) for leased in held)
     return limit_lease.LeaseAsk(
         holder=holder,
         incarnation='a1b2c3d4',
@@ -557,11 +559,11 @@
 
 def _owner(
     contracts: dict[str, contract_module.Contract], holders: int
-) -> limit_lease.LeaseOwner:
+) -> limit_lease.LimitOwner:
     clock = clock_module.SystemClock()
-    ring = entry_ring.EntryRing(clock, 'entry-0000', 'region-0')
-    ring.update(1, [make_instance(0, live_list.Role.ENTRY)])
-    owner = limit_lease.LeaseOwner(clock, ring, _Contracts(contracts))
+    ownership = limit_ownership.LimitOwnership(clock, 'entry-0000', 'region-0')
+    ownership.update(1, [make_instance(0, live_list.Role.ENTRY)])
+    owner = limit_lease.LimitOwner(clock, ownership, _Contracts(contracts))
     wants = tuple(
         limit_lease.LeaseWant(customer, 1.0, 300.0, 1, 1)
         for customer in contracts
@@ -585,8 +587,8 @@
     ask = sealer.open(data).decode(limit_lease.LeaseAsk)
     data = sealer.seal_short(owner.grant(ask))
     reply = sealer.open(data).decode(limit_lease.LeaseReply)
-    for holding, part in zip(held, reply.parts, strict=True):
-        holding.apply(part, asked_s)
+    for leased, part in zip(held, reply.parts, strict=True):
+        leased.apply(part, asked_s)
 
 
 class Ping(link.Message, frozen=True):
@@ -746,11 +748,11 @@
     for count in FLEETS:
         wire = _Wire()
         members = _member(encode_list(1, make_instances(count)))
-        gossips, books = [], []
+        gossips, registries = [], []
         for number, instance in enumerate(members.instances):
-            book = make_book(raw)
+            registry = make_registry(raw)
             gossip = contract_gossip.ContractGossip(
-                book,
+                registry,
                 members,
                 wire,
                 clock_module.SystemClock(),
@@ -759,10 +761,10 @@
             )
             gossip.register(_Port(wire, instance.ip))
             gossips.append(gossip)
-            books.append(book)
+            registries.append(registry)
         async with asyncio.TaskGroup() as tasks:
             running = [tasks.create_task(g.run()) for g in gossips]
-            await asyncio.gather(*(g.settled() for g in gossips))
+            await asyncio.gather(*(g.wait_until_settled() for g in gossips))
             began = wire.sent_count, wire.sent_bytes
             began_s = time.monotonic()
             await asyncio.sleep(2.0)
@@ -771,10 +773,10 @@
             round_bytes.append((wire.sent_bytes - began[1]) / passed_s / count)
             began = wire.sent_count, wire.sent_bytes
             began_s = time.monotonic()
-            books[0].accept(
+            registries[0].accept(
                 msgspec.structs.replace(make_contract(5), revision=99)
             )
-            while any(b.revision('customer-00005') < 99 for b in books):
+            while any(b.revision('customer-00005') < 99 for b in registries):
                 await asyncio.sleep(0.005)
             passed_s = time.monotonic() - began_s
             await asyncio.sleep(0.05)
--- a/benchmarks/contracts.py
+++ b/benchmarks/contracts.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from lacewingpitch import contract_book
 from lacewingpitch import contract_gossip
+from lacewingpitch import contract_registry
 from lacewingpitch import contract_versions
 from lacewingpitch import link
 from lacewingpitch import live_list
@@ -217,35 +217,37 @@
 
 
 def measure_memory():
-    """Return a full book, for the messages' sizes."""
+    """Return a full registry, for the messages' sizes."""
     before = resident_bytes()
-    book = contract_book.ContractBook()
+    registry = contract_registry.ContractRegistry()
     for number in range(CUSTOMERS):
         name = f'customer-{number:05}'
         made = contract_fakes.make_contract(name, 1, keys=(f'key-{number}',))
-        book.accept_json(msgspec.json.encode(made), 'bench')
+        registry.accept_json(msgspec.json.encode(made), 'bench')
     middle = resident_bytes()
-    sidecar = contract_book.ContractBook(capacity_contracts=1024)
-    for version in book.versions.in_leaves(range(256)):
-        sidecar.note_version(str(version.customer), version.version)
+    sidecar = contract_registry.ContractRegistry(capacity_contracts=1024)
+    for version in registry.versions.in_leaves(range(256)):
+        sidecar.record_version(str(version.customer), version.version)
     after = resident_bytes()
     print(
         f'{CUSTOMERS} contracts without adapters at an entry:'
         f' {(middle - before) / 1e6:.1f} MB;'
         f' versions alone at a sidecar: {(after - middle) / 1e6:.1f} MB'
     )
-    leaf = contract_gossip.VersionsReply(versions=book.versions.in_leaves([0]))
+    leaf = contract_gossip.VersionsReply(
+        versions=registry.versions.in_leaves([0])
+    )
     digest = contract_gossip.DigestReply(
-        root=book.versions.root, leaves=book.versions.leaves()
+        root=registry.versions.root, leaves=registry.versions.leaves()
     )
-    same = contract_gossip.DigestReply(root=book.versions.root)
+    same = contract_gossip.DigestReply(root=registry.versions.root)
     sizes = [len(msgspec.msgpack.encode(m)) for m in (same, digest, leaf)]
     print(
         'message bytes: equal {}, hashes of leaves {}, one leaf {}'.format(
             *sizes
         )
     )
-    made = book.contract('customer-00000')
+    made = registry.contract('customer-00000')
     started_s = time.perf_counter()
     for _ in range(1000):
         contract_versions.version_of(made)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -163,7 +163,7 @@
 
 
 class Leases:
-    """The product's way: `lacewingpitch.limits`."""
+    """The product's way: `lacewingpitch.customer_limits`."""
 
     def __init__(self, clock, entries):
         self._entries = entries
@@ -396,7 +396,7 @@
         self._given = Envelope(0.0)
         way = self._way(clock, entries)
         # A new owner leases shares of the places until it has settled.
-        await asyncio.sleep(limit_lease.LEASE_S + 1)
+        await asyncio.sleep(limit_lease.LEASE_DURATION_S + 1)
         faults = asyncio.create_task(self._fail())
         calls = []
         until_s = clock.monotonic_s() + RUN_S
@@ -494,9 +494,9 @@
         nonlocal refused
         entry = entries.all[chooser.choice(names)]
         try:
-            async with entry.limits.admit(contract, 250) as permit:
+            async with entry.limits.admit(contract, 250) as admitted:
                 await asyncio.sleep(CALL_S)
-                permit.tokens = 250
+                admitted.used_tokens = 250
         except errors.RefusalError:
             refused += 1
 
@@ -551,7 +551,7 @@
     )
     reply = limit_lease.LeaseReply(
         parts=tuple(
-            limit_lease.LeasePart('', 2, 250, 2, 1, 0) for _ in entries
+            limit_lease.LeaseGrant('', 2, 250, 2, 1, 0) for _ in entries
         )
     )
     size = len(sealer.seal_short(ask)) + len(sealer.seal_short(reply))
--- a/benchmarks/path_hop.py
+++ b/benchmarks/path_hop.py
@@ -18,9 +18,9 @@
 from lacewingpitch import answer_delivery
 from lacewingpitch import clock
 from lacewingpitch import contract
+from lacewingpitch import customer_limits
 from lacewingpitch import engine
 from lacewingpitch import event_stream
-from lacewingpitch import limits
 from lacewingpitch import runner
 from lacewingpitch import runs
 from lacewingpitch import sidecar_link
@@ -87,7 +87,7 @@
         order,
         reply,
         account.Tally('1', clock.SystemClock()),
-        limits.Permit(1.0),
+        customer_limits.AdmittedRequest(1.0),
     )
     return delivery._relay_events(writer)
 
--- a/benchmarks/usage.py
+++ b/benchmarks/usage.py
@@ -49,7 +49,7 @@
             await asyncio.sleep(timeout_s)
             raise errors.NoReplyError('cut')
         await asyncio.sleep(ROUND_TRIP_S)
-        return await self.owner.answer(message)
+        return await self.owner.grant(message)
 
     def restart(self):
         self.owner = usage_lease.UsageOwner(self._clock)
--- a/lacewingpitch/answer_delivery.py
+++ b/lacewingpitch/answer_delivery.py
@@ -10,9 +10,9 @@
 
 from lacewingpitch import account as account_module
 from lacewingpitch import answer
+from lacewingpitch import customer_limits
 from lacewingpitch import errors
 from lacewingpitch import event_stream
-from lacewingpitch import limits as limits_module
 from lacewingpitch import service_runner
 from lacewingpitch import sidecar_link
 from lacewingpitch import work
@@ -50,7 +50,7 @@
         The sidecar's answer as it comes.
     tally
         Counts what the caller gets.
-    permit
+    admitted
         Is charged with the tokens of the answer.
     """
 
@@ -60,13 +60,13 @@
         order: work.WorkOrder,
         reply: sidecar_link.Reply,
         tally: account_module.Tally,
-        permit: limits_module.Permit,
+        admitted: customer_limits.AdmittedRequest,
     ) -> None:
         self._request = request
         self._order = order
         self._reply = reply
         self._tally = tally
-        self._permit = permit
+        self._admitted = admitted
         self._relay = event_stream.EventRelay()
 
     async def deliver(self) -> web.StreamResponse:
@@ -130,7 +130,7 @@
             if not events:
                 continue
             # An event is about one token.
-            self._permit.tokens = float(relay.event_count)
+            self._admitted.used_tokens = float(relay.event_count)
             await response.write(events)
             self._tally.wrote(relay.event_count - told - relay.is_complete)
 
@@ -196,7 +196,9 @@
             found = msgspec.json.decode(body, type=_WholeAnswer)
             if found.usage is not None:
                 self._tally.has_tokens(found.usage.completion_tokens)
-                self._permit.tokens = float(found.usage.completion_tokens)
+                self._admitted.used_tokens = float(
+                    found.usage.completion_tokens
+                )
 
     def _headers(self) -> dict[str, str]:
         headers = {work.REQUEST_ID_HEADER: self._order.request_id}
--- a/lacewingpitch/attempts.py
+++ b/lacewingpitch/attempts.py
@@ -88,7 +88,7 @@
         self._ledger.admit(attempt_id)
         try:
             check_open()
-            self._node.book.check_order(
+            self._node.contract_registry.check_revision(
                 order.customer, order.contract_revision
             )
             body = await delivery.read_body(self._settings.body_timeout_s)
@@ -185,7 +185,7 @@
                 await held.enter_async_context(self._turn(order))
             # A contract may be revoked while its request waits; what
             # waits must not run on a right that has ended.
-            self._node.book.check_revoked(order.customer)
+            self._node.contract_registry.check_revoked(order.customer)
             claim.start()
             self._ledger.start(attempt_id)
             found = await self._runner.run(order, body, delivery)
--- a/lacewingpitch/cli.py
+++ b/lacewingpitch/cli.py
@@ -232,9 +232,9 @@
     for change in changes:
         for line in change.changes:
             click.echo(f'{change.customer}: {line}')
-        for line in change.faults:
+        for line in change.problems:
             click.echo(f'{change.customer}: FAULT {line}')
-    faulty = sum(bool(change.faults) for change in changes)
+    faulty = sum(bool(change.problems) for change in changes)
     click.echo(
         f'{len(changes)} customers differ, {faulty} with faults', err=True
     )
--- a/lacewingpitch/contract_diff.py
+++ b/lacewingpitch/contract_diff.py
@@ -18,13 +18,13 @@
     ----------
     changes
         One line for each field that differs.
-    faults
+    problems
         Why this change must not be published; empty if it may be.
     """
 
     customer: str
     changes: tuple[str, ...]
-    faults: tuple[str, ...] = ()
+    problems: tuple[str, ...] = ()
 
 
 def diff(
@@ -38,7 +38,7 @@
         _change(customer, before.get(customer), after.get(customer))
         for customer in sorted(before.keys() | after.keys())
     ]
-    return [change for change in found if change.changes or change.faults]
+    return [change for change in found if change.changes or change.problems]
 
 
 def _change(
@@ -59,10 +59,10 @@
         )
     changes = tuple(_differences(_plain(old), _plain(new), type_problems.ROOT))
     changes += tuple(_version_changes(old, new))
-    return ContractChange(customer, changes, _revision_faults(old, new))
+    return ContractChange(customer, changes, _revision_problems(old, new))
 
 
-def _revision_faults(
+def _revision_problems(
     old: contract_module.Contract, new: contract_module.Contract
 ) -> tuple[str, ...]:
     if new.revision < old.revision:
--- a/lacewingpitch/contract_gossip.py
+++ b/lacewingpitch/contract_gossip.py
@@ -16,7 +16,7 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract as contract_module
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import contract_versions
 from lacewingpitch import errors
 from lacewingpitch import link
@@ -152,7 +152,7 @@
 
     Parameters
     ----------
-    book
+    registry
         The contracts in force here.
     membership
         The other processes.
@@ -170,7 +170,7 @@
 
     def __init__(
         self,
-        book: contract_book.ContractBook,
+        registry: contract_registry.ContractRegistry,
         membership: membership_module.Membership,
         links: Links,
         clock: clock_module.Clock,
@@ -178,7 +178,7 @@
         seed: int | None = None,
         settle_s: float = SETTLE_S,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._settle_s = settle_s
         self._membership = membership
         self._links = links
@@ -202,13 +202,13 @@
 
     async def run(self) -> None:
         """Settle, then spread and compare until cancelled."""
-        with self._book.changes.subscribe(self._on_change):
+        with self._registry.changes.subscribe(self._on_change):
             await self.settle()
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._spread_changes())
                 tasks.create_task(self._compare_forever())
 
-    async def settled(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Wait until peers were asked what they know, or none answers."""
         await self._settled.wait()
 
@@ -221,11 +221,11 @@
     def status(self) -> ContractStatus:
         """What an operator is told."""
         return ContractStatus(
-            contract_count=len(self._book),
-            customer_count=len(self._book.versions),
-            outdated_count=len(self._book.outdated),
-            rejected_count=len(self._book.rejected),
-            conflict_count=len(self._book.conflicts),
+            contract_count=len(self._registry),
+            customer_count=len(self._registry.versions),
+            outdated_count=len(self._registry.outdated),
+            rejected_count=len(self._registry.rejected),
+            conflict_count=len(self._registry.conflicts),
             view_age_s=self._age_s(self._viewed_at_s),
             is_settled=self.is_settled,
             is_watcher=self.is_watcher,
@@ -261,7 +261,7 @@
             age_s = self._clock.monotonic_s() - self._started_at_s
         return age_s > WATCHER_SILENCE_S
 
-    def note_read(self, read_at_s: float | None) -> None:
+    def record_read(self, read_at_s: float | None) -> None:
         """Note when this process read the configuration service."""
         if read_at_s is None:
             return
@@ -299,14 +299,14 @@
             The peer does not answer.
         """
         request = DigestRequest(
-            root=self._book.versions.root,
+            root=self._registry.versions.root,
             watch_age_s=self._age_s(self._watched_at_s),
             view_age_s=self._age_s(self._viewed_at_s),
         )
         reply = await self._ask(peer, request, DigestReply)
         self._note_ages(reply)
-        if reply.root != self._book.versions.root:
-            leaves = self._book.versions.differing_leaves(reply.leaves)
+        if reply.root != self._registry.versions.root:
+            leaves = self._registry.versions.differing_leaves(reply.leaves)
             for part in _parts(leaves, _LEAVES_PER_MESSAGE):
                 await self._compare_leaves(peer, part)
         await self._fetch_outdated(peer)
@@ -325,15 +325,15 @@
                 await self._fetch(peer, (customer,))
             except errors.LinkError as error:
                 log.warning('not caught up', peer=peer.name, error=str(error))
-            known = self._book.contract(customer)
-            if known is not None and customer not in self._book.outdated:
-                if known.revision >= self._book.revision(customer):
+            known = self._registry.contract(customer)
+            if known is not None and customer not in self._registry.outdated:
+                if known.revision >= self._registry.revision(customer):
                     break
 
     async def answer_digest(self, request: DigestRequest) -> DigestReply:
         """Answer with hashes of the versions known here."""
         self._note_ages(request)
-        versions = self._book.versions
+        versions = self._registry.versions
         root = versions.root
         return DigestReply(
             root=root,
@@ -346,7 +346,9 @@
     async def answer_versions(self, request: VersionsRequest) -> VersionsReply:
         """Answer with the versions in some leaves."""
         leaves = request.leaves[:_LEAVES_PER_MESSAGE]
-        return VersionsReply(versions=self._book.versions.in_leaves(leaves))
+        return VersionsReply(
+            versions=self._registry.versions.in_leaves(leaves)
+        )
 
     async def answer_contracts(
         self, request: ContractsRequest
@@ -355,7 +357,7 @@
         customers = request.customers[:_CONTRACTS_PER_MESSAGE]
         return ContractsReply(
             versions=self._versions_of(customers),
-            contracts=_fitting(self._book.encoded(customers)),
+            contracts=_fitting(self._registry.encoded(customers)),
         )
 
     async def answer_push(self, push: ContractsPush) -> PushReply:
@@ -426,14 +428,14 @@
         )
         theirs = {found.customer: found.version for found in reply.versions}
         newer = [c for c in theirs if theirs[c] > self._version(c)]
-        if self._book.holds_all or self._is_few_changes(newer):
+        if self._registry.holds_all or self._is_few_changes(newer):
             for part in _parts(newer, _CONTRACTS_PER_MESSAGE):
                 await self._fetch(peer, part)
         for customer in newer:
-            self._book.note_version(customer, theirs[customer])
+            self._registry.record_version(customer, theirs[customer])
         older = [
             found.customer
-            for found in self._book.versions.in_leaves(leaves)
+            for found in self._registry.versions.in_leaves(leaves)
             if found.version
             > theirs.get(found.customer, contract_versions.NO_VERSION)
         ]
@@ -445,7 +447,7 @@
         return self.is_settled and len(customers) <= _CONTRACTS_PER_MESSAGE
 
     async def _fetch_outdated(self, peer: live_list.Instance) -> None:
-        outdated = sorted(self._book.outdated)
+        outdated = sorted(self._registry.outdated)
         if outdated:
             self._random.shuffle(outdated)
             await self._fetch(peer, outdated[:_CONTRACTS_PER_MESSAGE])
@@ -474,20 +476,20 @@
         versions: Iterable[contract_versions.CustomerVersion],
     ) -> None:
         for raw in contracts:
-            self._book.accept_json(
+            self._registry.accept_json(
                 raw, f'peer:{contract_module.customer_of(raw)}'
             )
         for found in versions:
-            self._book.note_version(found.customer, found.version)
+            self._registry.record_version(found.customer, found.version)
 
     def _push_of(self, customers: Sequence[str]) -> ContractsPush:
         return ContractsPush(
-            contracts=_fitting(self._book.encoded(customers)),
+            contracts=_fitting(self._registry.encoded(customers)),
             versions=self._versions_of(customers),
         )
 
     def _version(self, customer: str) -> contract_versions.ContractVersion:
-        return self._book.versions.version(customer)
+        return self._registry.versions.version(customer)
 
     def _versions_of(
         self, customers: Iterable[str]
--- a/lacewingpitch/contract_book.py
+++ b/lacewingpitch/contract_registry.py
@@ -16,7 +16,7 @@
 log = structlog.get_logger(__name__)
 
 
-class ContractBook:
+class ContractRegistry:
     """The contracts in force, each at the highest version seen.
 
     A version may be known before its contract: the contract held is then
@@ -35,7 +35,7 @@
         self.versions = contract_versions.VersionTable()
         self.rejected: dict[str, str] = {}
         self.conflicts: dict[str, str] = {}
-        self.passed_over_count = 0
+        self.stale_count = 0
         self._capacity_contracts = capacity_contracts
         self._contracts: collections.OrderedDict[
             str, contract_module.Contract
@@ -124,7 +124,7 @@
         # peer may be behind.  A version below the highest seen would
         # bring a revoked right back, so it is passed over.
         if version < self.versions.version(customer):
-            self.passed_over_count += 1
+            self.stale_count += 1
             self._check_conflict(contract)
             self._hold_outdated(contract)
             return False
@@ -138,7 +138,7 @@
         self._changes.on_next(contract)
         return True
 
-    def note_version(
+    def record_version(
         self, customer: str, version: contract_versions.ContractVersion
     ) -> None:
         """Note that a version is out, though its contract is not here."""
@@ -175,7 +175,7 @@
             if customer in self._contracts and customer not in self._outdated
         ]
 
-    def check_order(self, customer: str, revision: int) -> None:
+    def check_revision(self, customer: str, revision: int) -> None:
         """Refuse an order made under a contract that is not the newest.
 
         Raises
@@ -192,7 +192,7 @@
                 errors.ErrorKind.CONTRACT_OUTDATED,
                 f'revision {known} of the contract is in force',
             )
-        self.note_version(
+        self.record_version(
             customer, contract_versions.ContractVersion(revision)
         )
 
--- a/lacewingpitch/limits.py
+++ b/lacewingpitch/customer_limits.py
@@ -17,11 +17,11 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract as contract_module
-from lacewingpitch import entry_ring
 from lacewingpitch import errors
+from lacewingpitch import leased_limit
 from lacewingpitch import limit_handover
-from lacewingpitch import limit_holding
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from lacewingpitch import link
 from lacewingpitch import live_list
 from lacewingpitch import node as node_module
@@ -79,18 +79,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Permit:
+class AdmittedRequest:
     """A request that was admitted, and what it has been charged."""
 
     estimated_tokens: float
-    tokens: float | None = None
+    used_tokens: float | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class _Customer:
-    holding: limit_holding.LimitHolding
+    leased: leased_limit.LeasedLimit
     contract: contract_module.Contract
-    ring_version: int
+    list_version: int
     owner: live_list.Instance | None
     pending: int = 0
     pending_places: int = 0
@@ -118,14 +118,14 @@
     used_s: float = 0.0
 
 
-class Limits:
+class CustomerLimits:
     """Admits requests within their customers' contracts.
 
     Parameters
     ----------
     clock
         Source of time.
-    ring
+    ownership
         The live entry instances.
     owner
         State of what this instance owns itself.
@@ -138,13 +138,13 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        ring: entry_ring.EntryRing,
-        owner: limit_lease.LeaseOwner,
+        ownership: limit_ownership.LimitOwnership,
+        owner: limit_lease.LimitOwner,
         granter: limit_handover.LeaseGranter,
         lease_link: LeaseLink,
     ) -> None:
         self._clock = clock
-        self._ring = ring
+        self._ownership = ownership
         self._owner = owner
         self._granter = granter
         self._link = lease_link
@@ -163,7 +163,7 @@
     @contextlib.asynccontextmanager
     async def admit(
         self, contract: contract_module.Contract, max_tokens: int
-    ) -> AsyncIterator[Permit]:
+    ) -> AsyncIterator[AdmittedRequest]:
         """Hold a place for one request while the caller runs it.
 
         Raises
@@ -178,17 +178,17 @@
         try:
             await self._take_place(customer)
         except BaseException:
-            customer.holding.unspend(tokens)
+            customer.leased.unspend(tokens)
             raise
-        permit = Permit(tokens)
+        admitted = AdmittedRequest(tokens)
         try:
-            yield permit
+            yield admitted
         finally:
             # Whatever ends the request, the place is free again: a place
             # lost by a caller that went away would shrink the limit.
-            customer.holding.running -= 1
-            if permit.tokens is not None:
-                customer.holding.charge(permit.tokens - tokens)
+            customer.leased.running -= 1
+            if admitted.used_tokens is not None:
+                customer.leased.charge(admitted.used_tokens - tokens)
             _wake(customer)
 
     def change(self, contract: contract_module.Contract) -> None:
@@ -197,8 +197,8 @@
         if found is None:
             return
         found.contract = contract
-        found.ring_version = -1
-        found.holding.change(contract)
+        found.list_version = -1
+        found.leased.change(contract)
 
     async def run(self) -> None:
         """Renew leases, and forget idle customers, until cancelled."""
@@ -210,16 +210,16 @@
         """Renew what is due, and forget idle customers."""
         self._owner.tick()
         for name, customer in list(self._customers.items()):
-            holding = customer.holding
-            if holding.is_idle() and not customer.pending:
+            leased = customer.leased
+            if leased.is_idle() and not customer.pending:
                 del self._customers[name]
                 continue
             self._locate(customer)
-            if customer.queue or holding.needs_renewal(
+            if customer.queue or leased.needs_renewal(
                 limit_lease.RENEWAL_INTERVAL_S
             ):
                 self._probe(customer)
-            elif holding.needs_renewal(limit_lease.RENEWAL_INTERVAL_S / 2):
+            elif leased.needs_renewal(limit_lease.RENEWAL_INTERVAL_S / 2):
                 self._owners[customer.owner_name].soon.add(name)
         self._forget_owners()
 
@@ -232,9 +232,9 @@
     def _customer(self, contract: contract_module.Contract) -> _Customer:
         found = self._customers.get(contract.customer)
         if found is None:
-            count = self._ring.entry_count(contract.region)
+            count = self._ownership.entry_count(contract.region)
             found = _Customer(
-                limit_holding.LimitHolding(self._clock, contract, count),
+                leased_limit.LeasedLimit(self._clock, contract, count),
                 contract,
                 -1,
                 None,
@@ -244,48 +244,50 @@
         return found
 
     def _locate(self, customer: _Customer) -> None:
-        if customer.ring_version == self._ring.version:
+        if customer.list_version == self._ownership.version:
             return
         contract = customer.contract
-        customer.ring_version = self._ring.version
-        owner = self._ring.owner(contract.customer, contract.region)
+        customer.list_version = self._ownership.version
+        owner = self._ownership.owner(contract.customer, contract.region)
         if owner != customer.owner:
-            customer.holding.renew_now()
+            customer.leased.renew_now()
         customer.owner = owner
-        customer.holding.share_over(self._ring.entry_count(contract.region))
+        customer.leased.share_over(
+            self._ownership.entry_count(contract.region)
+        )
 
     async def _spend(self, customer: _Customer, tokens: float) -> None:
-        holding = customer.holding
+        leased = customer.leased
         # What came for a request that waits for it is not for one that
         # comes later: the first would be refused within the contract.
-        if not customer.pending and holding.spend(tokens):
+        if not customer.pending and leased.spend(tokens):
             return
-        if holding.may_ask:
+        if leased.may_ask:
             await self._ask(customer, tokens)
-            if holding.spend(tokens):
+            if leased.spend(tokens):
                 return
         raise errors.RefusalError(
             errors.ErrorKind.RATE_LIMITED,
             'the rate of the contract is reached',
-            retry_after_s=holding.retry_after_s(),
+            retry_after_s=leased.retry_after_s(),
         )
 
     async def _take_place(self, customer: _Customer) -> None:
-        holding = customer.holding
+        leased = customer.leased
         is_first = not customer.queue and not customer.pending_places
-        if is_first and holding.has_place():
-            holding.running += 1
+        if is_first and leased.has_place():
+            leased.running += 1
             return
-        if holding.may_ask_places:
+        if leased.may_ask_places:
             customer.pending_places += 1
             try:
                 await self._ask(customer, 0.0)
             finally:
                 customer.pending_places -= 1
-            if not customer.queue and holding.has_place():
-                holding.running += 1
+            if not customer.queue and leased.has_place():
+                leased.running += 1
                 return
-        if not holding.has_waiting_place():
+        if not leased.has_waiting_place():
             raise errors.RefusalError(
                 errors.ErrorKind.QUEUE_FULL,
                 'the queue of the contract is full',
@@ -294,10 +296,10 @@
         await self._wait_for_place(customer)
 
     async def _wait_for_place(self, customer: _Customer) -> None:
-        holding = customer.holding
+        leased = customer.leased
         turn = asyncio.get_running_loop().create_future()
         customer.queue.append(turn)
-        holding.waiting += 1
+        leased.waiting += 1
         try:
             async with asyncio.timeout(customer.contract.deadline_s):
                 await turn
@@ -312,7 +314,7 @@
             _give_up(customer, turn)
             raise
         finally:
-            holding.waiting -= 1
+            leased.waiting -= 1
 
     async def _ask(self, customer: _Customer, tokens: float) -> None:
         """Ask the owner, and return after its reply or its silence."""
@@ -321,7 +323,7 @@
         # each one would be late by the timeout.  `tick` finds out when it
         # answers again.
         if self._clock.monotonic_s() < state.suspect_until_s:
-            customer.holding.fail()
+            customer.leased.fail()
             return
         customer.pending += 1
         customer.pending_tokens += tokens
@@ -338,7 +340,7 @@
         state = self._owners[customer.owner_name]
         now_s = self._clock.monotonic_s()
         if now_s < state.suspect_until_s:
-            customer.holding.fail()
+            customer.leased.fail()
             if now_s < state.probe_after_s:
                 return
             state.probe_after_s = now_s + _PROBE_S
@@ -383,7 +385,7 @@
             return
         # The list here is older than the owner's: until it is renewed,
         # the owner that was told of is asked.
-        is_self = moved.owner.name == self._ring.instance
+        is_self = moved.owner.name == self._ownership.instance
         customer.owner = None if is_self else moved.owner
         state = self._owners[customer.owner_name]
         state.due.setdefault(moved.customer, []).extend(turns)
@@ -404,7 +406,7 @@
             state.probe_after_s = now_s + _PROBE_S
             log.info('owner silent', error=str(error))
             for customer in asked:
-                customer.holding.fail()
+                customer.leased.fail()
                 _wake(customer)
             return ()
         state.suspect_until_s = 0.0
@@ -413,11 +415,11 @@
         for customer in asked:
             part = parts.get(customer.contract.customer)
             if customer.contract.customer in moved:
-                customer.holding.withdraw()
+                customer.leased.withdraw()
             elif part is None:
-                customer.holding.fail()
+                customer.leased.fail()
             else:
-                customer.holding.apply(part, asked_s)
+                customer.leased.apply(part, asked_s)
             _wake(customer)
         return reply.moved
 
@@ -426,13 +428,11 @@
     ) -> limit_lease.LeaseReply:
         self._sequence += 1
         ask = limit_lease.LeaseAsk(
-            holder=self._ring.instance,
+            holder=self._ownership.instance,
             incarnation=self._incarnation,
             sequence=self._sequence,
             wants=tuple(
-                customer.holding.want(
-                    customer.pending, customer.pending_tokens
-                )
+                customer.leased.want(customer.pending, customer.pending_tokens)
                 for customer in asked
             ),
             reads_order=True,
@@ -458,11 +458,11 @@
 
 
 def _wake(customer: _Customer) -> None:
-    holding = customer.holding
-    while customer.queue and holding.has_place():
+    leased = customer.leased
+    while customer.queue and leased.has_place():
         turn = customer.queue.popleft()
         if not turn.done():
-            holding.running += 1
+            leased.running += 1
             turn.set_result(None)
 
 
@@ -470,7 +470,7 @@
     # The place may have come in the same turn of the loop as the
     # cancellation; it would stay taken for good.
     if turn.done() and not turn.cancelled():
-        customer.holding.running -= 1
+        customer.leased.running -= 1
         _wake(customer)
         return
     with contextlib.suppress(ValueError):
@@ -478,20 +478,26 @@
 
 
 @contextlib.asynccontextmanager
-async def node_limits(node: node_module.Node) -> AsyncIterator[Limits]:
+async def node_limits(node: node_module.Node) -> AsyncIterator[CustomerLimits]:
     """Run the limits of an entry instance on its links and views."""
     settings = node.settings
-    ring = entry_ring.EntryRing(node.clock, settings.instance, settings.region)
-    owner = limit_lease.LeaseOwner(node.clock, ring, node.book)
+    ownership = limit_ownership.LimitOwnership(
+        node.clock, settings.instance, settings.region
+    )
+    owner = limit_lease.LimitOwner(
+        node.clock, ownership, node.contract_registry
+    )
     links = ControlLeaseLink(node.peers)
-    granter = limit_handover.LeaseGranter(node.clock, ring, owner, links)
-    found = Limits(node.clock, ring, owner, granter, links)
+    granter = limit_handover.LeaseGranter(node.clock, ownership, owner, links)
+    found = CustomerLimits(node.clock, ownership, owner, granter, links)
     node.control.handle(limit_lease.LeaseAsk, granter.grant)
     node.control.handle(limit_lease.HandOver, granter.hand_over)
     node.membership.changes.subscribe(
-        lambda published: ring.update(published.revision, published.instances)
+        lambda published: ownership.update(
+            published.revision, published.instances
+        )
     )
-    node.book.changes.subscribe(found.change)
+    node.contract_registry.changes.subscribe(found.change)
     node.run(found.run())
     with contextlib.closing(found):
         yield found
--- a/lacewingpitch/entry.py
+++ b/lacewingpitch/entry.py
@@ -20,6 +20,7 @@
 from lacewingpitch import answer_delivery
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract as contract_module
+from lacewingpitch import customer_limits
 from lacewingpitch import directory
 from lacewingpitch import dispatch
 from lacewingpitch import ejection
@@ -27,7 +28,6 @@
 from lacewingpitch import http_guard
 from lacewingpitch import http_server
 from lacewingpitch import idempotency
-from lacewingpitch import limits as limits_module
 from lacewingpitch import metrics as metrics_module
 from lacewingpitch import node
 from lacewingpitch import placement
@@ -95,7 +95,7 @@
         self._metrics = metrics_module.Metrics(
             settings.instance, settings.availability_zone
         )
-        self._limits: limits_module.Limits
+        self._limits: customer_limits.CustomerLimits
 
     @property
     def work_port(self) -> int:
@@ -128,14 +128,14 @@
             self._node.membership,
             places,
             ejector,
-            self._node.contracts.catch_up,
+            self._node.contract_gossip.catch_up,
         )
         self._dispatcher = dispatch.Dispatcher(
             link, self._node.membership, places, ejector
         )
         self._start_account()
         self._limits = await self._exits.enter_async_context(
-            limits_module.node_limits(self._node)
+            customer_limits.node_limits(self._node)
         )
         self._node.follow_platform()
         self._add_routes()
@@ -145,8 +145,11 @@
     @property
     def is_ready(self) -> bool:
         """Whether contracts and backend servers are known."""
-        known = len(self._node.book) and self._node.membership.has_sidecars
-        settled = self._node.contracts.is_settled
+        known = (
+            len(self._node.contract_registry)
+            and self._node.membership.has_sidecars
+        )
+        settled = self._node.contract_gossip.is_settled
         return bool(known) and settled and not self._draining
 
     async def ready(self) -> None:
@@ -171,7 +174,7 @@
         self._exits.push_async_callback(copier.close, _LAST_COPY_TIMEOUT_S)
         reports = report_server.ReportServer(
             report_module.Reporter(self._node, reader),
-            self._node.book,
+            self._node.contract_registry,
             self.settings.operator_token_digest,
             self._node.clock,
         )
@@ -246,7 +249,9 @@
             raise errors.RefusalError(
                 errors.ErrorKind.UNAUTHENTICATED, 'no API key'
             )
-        return self._node.book.authenticate(header.removeprefix(_BEARER))
+        return self._node.contract_registry.authenticate(
+            header.removeprefix(_BEARER)
+        )
 
     async def _complete(
         self,
@@ -317,19 +322,19 @@
         body: bytes,
     ) -> web.StreamResponse:
         async with contextlib.AsyncExitStack() as held:
-            permit = await held.enter_async_context(
+            admitted = await held.enter_async_context(
                 self._limits.admit(contract, order.max_tokens)
             )
             if order.adapter is None:
-                permit.tokens = 0.0
-            return await self._run(request, order, body, permit)
+                admitted.used_tokens = 0.0
+            return await self._run(request, order, body, admitted)
 
     async def _run(
         self,
         request: web.Request,
         order: work.WorkOrder,
         body: bytes,
-        permit: limits_module.Permit,
+        admitted: customer_limits.AdmittedRequest,
     ) -> web.StreamResponse:
         if order.idempotency_key:
             idempotency.check_window(
@@ -347,11 +352,11 @@
                 order, body, content_type
             ) as reply:
                 return await answer_delivery.AnswerDelivery(
-                    request, order, reply, tally, permit
+                    request, order, reply, tally, admitted
                 ).deliver()
         except errors.RefusalError as error:
             if error.outcome is errors.Outcome.NOT_RUN:
-                permit.tokens = 0.0
+                admitted.used_tokens = 0.0
             raise
 
     async def _models(self, request: web.Request) -> web.Response:
@@ -368,7 +373,7 @@
     async def _ready(self, _request: web.Request) -> web.Response:
         return web.Response(
             status=200 if self.is_ready else 503,
-            body=msgspec.json.encode(self._node.contracts.status),
+            body=msgspec.json.encode(self._node.contract_gossip.status),
             content_type='application/json',
         )
 
--- a/lacewingpitch/limit_holding.py
+++ b/lacewingpitch/leased_limit.py
@@ -20,7 +20,7 @@
 _KEPT_RATIO = 2
 
 
-class LimitHolding:
+class LeasedLimit:
     """Leases of one customer, and the share to fall back on.
 
     While the owner answers, only what it leased is spent.  When it does
@@ -259,7 +259,7 @@
             and not self.is_leased
             and not self._promised
             and self._tokens >= 0
-            and now_s - self._used_s > limit_lease.LEASE_S
+            and now_s - self._used_s > limit_lease.LEASE_DURATION_S
             and self._share.is_full(now_s)
             and self._token_share.is_full(now_s)
         )
@@ -315,7 +315,7 @@
             self._promised,
         )
 
-    def apply(self, part: limit_lease.LeasePart, asked_s: float) -> None:
+    def apply(self, part: limit_lease.LeaseGrant, asked_s: float) -> None:
         """Take over what was leased; the lease runs from `asked_s`."""
         now_s = self._clock.monotonic_s()
         asked_running, self._asked_running = self._asked_running, None
--- a/lacewingpitch/usage_holding.py
+++ b/lacewingpitch/leased_usage.py
@@ -17,7 +17,7 @@
 _LEAST_RATE_PER_S = 1e-3
 
 
-class UsageHolding:
+class LeasedUsage:
     """Leased units, and what may be used while their owner is silent.
 
     Parameters
--- a/lacewingpitch/limit_handover.py
+++ b/lacewingpitch/limit_handover.py
@@ -6,9 +6,9 @@
 import structlog
 
 from lacewingpitch import clock as clock_module
-from lacewingpitch import entry_ring
 from lacewingpitch import errors
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from lacewingpitch import live_list
 
 _SILENT_S = 3.0
@@ -38,7 +38,7 @@
     ----------
     clock
         Source of time.
-    ring
+    ownership
         The live entry instances.
     owner
         Leases what this instance owns.
@@ -49,12 +49,12 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        ring: entry_ring.EntryRing,
-        owner: limit_lease.LeaseOwner,
+        ownership: limit_ownership.LimitOwnership,
+        owner: limit_lease.LimitOwner,
         hand_over_link: HandOverLink,
     ) -> None:
         self._clock = clock
-        self._ring = ring
+        self._ownership = ownership
         self._owner = owner
         self._link = hand_over_link
         self._adopting = asyncio.Lock()
@@ -89,12 +89,12 @@
         now_s = self._clock.monotonic_s()
         if now_s < self._silent_until_s.get(previous.name, 0.0):
             return nothing
-        this = self._ring.this_instance()
+        this = self._ownership.this_instance()
         if this is None:
             return nothing
         message = limit_lease.HandOver(
             owner=this,
-            revision=self._ring.revision,
+            revision=self._ownership.revision,
             customers=tuple(customers),
         )
         try:
--- a/lacewingpitch/limit_lease.py
+++ b/lacewingpitch/limit_lease.py
@@ -17,12 +17,12 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract as contract_module
-from lacewingpitch import entry_ring
+from lacewingpitch import limit_ownership
 from lacewingpitch import link
 from lacewingpitch import live_list
 from lacewingpitch import token_bucket
 
-LEASE_S = 6.0
+LEASE_DURATION_S = 6.0
 RENEWAL_INTERVAL_S = 2.0
 # For holders that don't commit to renew, see `lease_duration_s`.
 LONG_LEASE_DURATION_S = 30.0
@@ -94,7 +94,7 @@
     reads_order: bool = False
 
 
-class LeasePart(msgspec.Struct, frozen=True, array_like=True):
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
     """The part of one customer's limits that an owner leases.
 
     Parameters
@@ -127,10 +127,10 @@
     names, in the order of the wants.
     """
 
-    parts: tuple[LeasePart, ...] = ()
+    parts: tuple[LeaseGrant, ...] = ()
     moved: tuple[Moved, ...] = ()
 
-    def by_customer(self, wanted: Sequence[str]) -> dict[str, LeasePart]:
+    def by_customer(self, wanted: Sequence[str]) -> dict[str, LeaseGrant]:
         """Return the parts by customer.
 
         Parameters
@@ -205,7 +205,7 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Handover:
     to: live_list.Instance
-    ring_version: int
+    list_version: int
     until_s: float
 
 
@@ -372,7 +372,7 @@
     Most holders have only one or two long-running requests.  Their leases
     last longer, or renewals would be most of all messages.
     """
-    return LEASE_S if renews else LONG_LEASE_DURATION_S
+    return LEASE_DURATION_S if renews else LONG_LEASE_DURATION_S
 
 
 def unleased_share(limit: int, entry_count: int) -> int:
@@ -380,14 +380,14 @@
     return max(1, limit // entry_count)
 
 
-class LeaseOwner:
+class LimitOwner:
     """Grants leases of the limits that this instance owns.
 
     Parameters
     ----------
     clock
         Source of time.
-    ring
+    ownership
         Maps customers to the entry instances that own their limits.
     contracts
         The contracts in force.
@@ -396,11 +396,11 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        ring: entry_ring.EntryRing,
+        ownership: limit_ownership.LimitOwnership,
         contracts: ContractLookup,
     ) -> None:
         self._clock = clock
-        self._ring = ring
+        self._ownership = ownership
         self._contracts = contracts
         self._owned: dict[str, _OwnedLimit] = {}
         self._last_asks: dict[str, tuple[str, int]] = {}
@@ -452,7 +452,7 @@
             self._last_asks = {
                 name: last_ask
                 for name, last_ask in self._last_asks.items()
-                if self._ring.is_listed(name)
+                if self._ownership.is_listed(name)
             }
 
     def pending_handovers(
@@ -469,11 +469,14 @@
             if contract is None or want.customer in self._owned:
                 continue
             customer, region = contract.customer, contract.region
-            if self._ring.owner(customer, region) is not None:
+            if self._ownership.owner(customer, region) is not None:
                 continue
-            if self._ring.owned_for_s(customer, region) > HANDOVER_RETENTION_S:
+            if (
+                self._ownership.owned_for_s(customer, region)
+                > HANDOVER_RETENTION_S
+            ):
                 continue
-            previous = self._ring.previous_owner(customer, region)
+            previous = self._ownership.previous_owner(customer, region)
             if previous is not None:
                 found.setdefault(previous, []).append(customer)
         return found
@@ -521,7 +524,9 @@
             # instance as the owner.  Two owners would lease the limit
             # twice.
             self._handovers[customer] = _Handover(
-                message.owner, self._ring.version, now_s + HANDOVER_RETENTION_S
+                message.owner,
+                self._ownership.version,
+                now_s + HANDOVER_RETENTION_S,
             )
         return HandedOver(states=tuple(states))
 
@@ -529,12 +534,12 @@
         # An instance that resumes after a pause may have an old list in
         # which it is the owner.  It must not take the limits from the
         # current owner.
-        if message.revision > self._ring.revision:
+        if message.revision > self._ownership.revision:
             return True
         contract = self._contracts.contract(customer)
-        if contract is None or message.revision < self._ring.revision:
+        if contract is None or message.revision < self._ownership.revision:
             return False
-        owner = self._ring.owner(customer, contract.region)
+        owner = self._ownership.owner(customer, contract.region)
         return owner is not None and owner.name == message.owner.name
 
     def _is_owner(self, customer: str, now_s: float) -> bool:
@@ -543,11 +548,11 @@
             return False
         if self._is_handed_over(customer, now_s):
             return False
-        return self._ring.owner(customer, contract.region) is None
+        return self._ownership.owner(customer, contract.region) is None
 
     def _is_handed_over(self, customer: str, now_s: float) -> bool:
         found = self._handovers.get(customer)
-        if found is None or found.ring_version != self._ring.version:
+        if found is None or found.list_version != self._ownership.version:
             return False
         return now_s < found.until_s
 
@@ -565,7 +570,7 @@
         # the burst, and grants nothing until a new list had time to arrive.
         if now_s - self._last_active_s > PAUSE_THRESHOLD_S:
             self._owned.clear()
-            self._ring.restart()
+            self._ownership.restart()
             self._grants_from_s = now_s + PAUSE_RECOVERY_S
         self._last_active_s = now_s
 
@@ -581,7 +586,7 @@
 
     def _grant_customer(
         self, holder: str, want: LeaseWant, now_s: float
-    ) -> LeasePart | None:
+    ) -> LeaseGrant | None:
         contract = self._contracts.contract(want.customer)
         if contract is None:
             return None
@@ -591,7 +596,7 @@
         owned = self._get_or_create(contract, now_s)
         self._drop_expired(owned, now_s)
         unresponsive_count = owned.unresponsive_holder_count(holder, now_s)
-        entry_count = self._ring.entry_count(contract.region)
+        entry_count = self._ownership.entry_count(contract.region)
         owned.apply_limits(limits, 1 - unresponsive_count / entry_count, now_s)
         owned.requests.add(want.requests_back, now_s)
         owned.tokens.add(want.tokens_back, now_s)
@@ -607,7 +612,7 @@
         owned.requests.add(-requests, now_s)
         owned.tokens.add(-tokens, now_s)
         held = owned.lease_slots(holder, want, limits, entry_count, now_s)
-        return LeasePart(
+        return LeaseGrant(
             want.customer,
             requests,
             tokens,
@@ -626,19 +631,19 @@
             # doesn't know what its predecessor leased: a full burst could
             # then be granted twice.  A new owner starts with a share of
             # the burst, plus what has refilled since it became the owner.
-            age_s = self._ring.owned_for_s(customer, region)
+            age_s = self._ownership.owned_for_s(customer, region)
             limits = contract.limits
             refill = age_s * limits.requests_per_s / limits.burst_requests
-            ratio = min(1.0, 1 / self._ring.entry_count(region) + refill)
+            ratio = min(1.0, 1 / self._ownership.entry_count(region) + refill)
             found = self._owned[customer] = _OwnedLimit(limits, ratio, now_s)
-            found.holders_known_at_s = now_s - age_s + LEASE_S
+            found.holders_known_at_s = now_s - age_s + LEASE_DURATION_S
         return found
 
     def _drop_expired(self, owned: _OwnedLimit, now_s: float) -> None:
         for name, held in list(owned.holders.items()):
             if held.expires_s > now_s:
                 continue
-            if not held.renews or not self._ring.is_listed(name):
+            if not held.renews or not self._ownership.is_listed(name):
                 del owned.holders[name]
 
 
--- a/lacewingpitch/entry_ring.py
+++ b/lacewingpitch/limit_ownership.py
@@ -19,7 +19,7 @@
     by_region: dict[str, tuple[live_list.Instance, ...]]
 
 
-class EntryRing:
+class LimitOwnership:
     """The live entry instances, and the owner among them by hash.
 
     Every instance with the same list finds the same owner.  While the
--- a/lacewingpitch/node.py
+++ b/lacewingpitch/node.py
@@ -11,8 +11,8 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import config_service
-from lacewingpitch import contract_book
 from lacewingpitch import contract_gossip
+from lacewingpitch import contract_registry
 from lacewingpitch import errors
 from lacewingpitch import link
 from lacewingpitch import live_list
@@ -56,13 +56,17 @@
         self.membership = membership.Membership(clock, settings.deployment)
         # A sidecar decides by revision alone; of the contracts it keeps
         # those that changed last, for entries that missed the change.
-        self.book = contract_book.ContractBook(
+        self.contract_registry = contract_registry.ContractRegistry(
             _SIDECAR_CONTRACTS
             if isinstance(settings, settings_module.SidecarSettings)
             else None
         )
-        self.contracts = contract_gossip.ContractGossip(
-            self.book, self.membership, self.peers, clock, settings.instance
+        self.contract_gossip = contract_gossip.ContractGossip(
+            self.contract_registry,
+            self.membership,
+            self.peers,
+            clock,
+            settings.instance,
         )
         self.session: aiohttp.ClientSession
         self._exits = contextlib.AsyncExitStack()
@@ -77,7 +81,7 @@
                 )
             )
             exits.callback(self.peers.close)
-            self.contracts.register(self.control)
+            self.contract_gossip.register(self.control)
             await self._listen()
             exits.push_async_callback(self.control.close)
             self._exits = exits.pop_all()
@@ -110,13 +114,13 @@
         # must be well within the time after which it counts as stale.
         watch_s = min(_LONGEST_WATCH_S, self.settings.list_lag_s / 3)
         self.run(self.membership.follow(instances, watch_s))
-        if self.book.holds_all:
+        if self.contract_registry.holds_all:
             published = published_contracts.PublishedContracts(
-                service, self.book, self.clock
+                service, self.contract_registry, self.clock
             )
             self.run(self._follow_contracts(published))
         else:
-            self.run(self.contracts.run())
+            self.run(self.contract_gossip.run())
 
     async def _follow_contracts(
         self, published: published_contracts.PublishedContracts
@@ -127,12 +131,12 @@
             await published.read_once()
         except errors.PlatformError as error:
             log.warning('contracts not read', error=str(error))
-        self.contracts.note_read(published.read_at_s)
-        self.run(self.contracts.run())
+        self.contract_gossip.record_read(published.read_at_s)
+        self.run(self.contract_gossip.run())
         while True:
-            if self.contracts.must_watch:
+            if self.contract_gossip.must_watch:
                 await published.step()
-                self.contracts.note_read(published.read_at_s)
+                self.contract_gossip.record_read(published.read_at_s)
             else:
                 await asyncio.sleep(_WATCH_CHECK_S)
 
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -36,7 +36,7 @@
 from lacewingpitch import suspects as suspects_module
 from lacewingpitch import turn_source
 from lacewingpitch import usage_limits
-from lacewingpitch import usage_owners
+from lacewingpitch import usage_ownership
 
 # As many entries share the retry budget at least: more than there are at
 # the small sites, spare instances included.
@@ -108,7 +108,7 @@
         self._usage = usage_limits.UsageLimits(
             file.settings.instance,
             self._peers,
-            usage_owners.UsageOwners(
+            usage_ownership.UsageOwnership(
                 self.servers, self._has_sidecar, self._process.clock
             ),
             self._process.clock,
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -85,7 +85,7 @@
         self._control.handle(grant.ConfigurationRequest, exchange.answer)
         self._control.handle(grant.ConfigurationOffer, exchange.accept)
         limits = usage_lease.UsageOwner(self._process.clock)
-        self._control.handle(usage_lease.UsageAsk, limits.answer)
+        self._control.handle(usage_lease.UsageAsk, limits.grant)
         store = store_module.Store(
             session, settings_module.url_of(settings.store)
         )
--- a/lacewingpitch/published_contracts.py
+++ b/lacewingpitch/published_contracts.py
@@ -10,7 +10,7 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import config_service
 from lacewingpitch import contract as contract_module
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import decoding
 from lacewingpitch import errors
 
@@ -54,7 +54,7 @@
     ----------
     service
         Where they are published.
-    book
+    registry
         Takes the contracts.
     clock
         Source of time.
@@ -70,12 +70,12 @@
     def __init__(
         self,
         service: config_service.ConfigService,
-        book: contract_book.ContractBook,
+        registry: contract_registry.ContractRegistry,
         clock: clock_module.Clock,
         seed: int | None = None,
     ) -> None:
         self._service = service
-        self._book = book
+        self._registry = registry
         self._clock = clock
         self._random = random.Random(seed)
         self._index_revision = 0
@@ -184,9 +184,9 @@
             self._report(shard.name, str(error))
             return
         self._check_duplicates(shard.name, content)
-        self._book.forget_rejected(f'{shard.name}[')
+        self._registry.forget_rejected(f'{shard.name}[')
         for number, raw in enumerate(content.contracts):
-            self._book.accept_json(raw, f'{shard.name}[{number}]')
+            self._registry.accept_json(raw, f'{shard.name}[{number}]')
         self._shard_revisions[shard.name] = shard.revision
         self.problems.pop(shard.name, None)
 
--- a/lacewingpitch/report.py
+++ b/lacewingpitch/report.py
@@ -185,7 +185,10 @@
             customer=customer,
             services=tuple(
                 report_content.customer_service(
-                    name, total[name], self._node.book.contract(name), now_s
+                    name,
+                    total[name],
+                    self._node.contract_registry.contract(name),
+                    now_s,
                 )
                 for name in shown
             ),
--- a/lacewingpitch/report_server.py
+++ b/lacewingpitch/report_server.py
@@ -11,7 +11,7 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract as contract_module
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import errors
 from lacewingpitch import http_server
 from lacewingpitch import report as report_module
@@ -39,7 +39,7 @@
     ----------
     reporter
         Assembles the reports.
-    book
+    registry
         Tells whose an API key is.
     operator_token_digest
         SHA-256 of the operators' token; without it there is no page for
@@ -51,12 +51,12 @@
     def __init__(
         self,
         reporter: report_module.Reporter,
-        book: contract_book.ContractBook,
+        registry: contract_registry.ContractRegistry,
         operator_token_digest: str | None,
         clock: clock_module.Clock,
     ) -> None:
         self._reporter = reporter
-        self._book = book
+        self._registry = registry
         self._operator_token_digest = operator_token_digest
         self._clock = clock
         self._assembling = asyncio.Semaphore(_MAX_ASSEMBLING)
@@ -79,7 +79,7 @@
         token = _token_of(request)
         if not self._is_operator(token) and self._customer(token) != name:
             return _refuse()
-        if self._book.contract(name) is None:
+        if self._registry.contract(name) is None:
             return web.Response(status=404, text='no such customer\n')
         return await self._answer(request, name)
 
@@ -130,7 +130,7 @@
 
     def _customer(self, token: str) -> str | None:
         try:
-            return self._book.authenticate(token).customer
+            return self._registry.authenticate(token).customer
         except errors.RefusalError:
             return None
 
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -214,7 +214,7 @@
     async def _admit_and_run(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
-        await self._node.contracts.settled()
+        await self._node.contract_gossip.wait_until_settled()
         return await self._attempts.run(order, delivery, self._check_open)
 
     def _check_open(self) -> None:
--- a/lacewingpitch/usage_lease.py
+++ b/lacewingpitch/usage_lease.py
@@ -129,7 +129,7 @@
     def __len__(self) -> int:
         return len(self._limits)
 
-    async def answer(self, ask: UsageAsk) -> UsageReply:
+    async def grant(self, ask: UsageAsk) -> UsageReply:
         """Lease what is wanted, as far as it is there."""
         return UsageReply(
             grants=tuple(self._grant(ask, want) for want in ask.wants)
--- a/lacewingpitch/usage_limits.py
+++ b/lacewingpitch/usage_limits.py
@@ -11,8 +11,8 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import errors
+from lacewingpitch import leased_usage
 from lacewingpitch import organisation as organisation_module
-from lacewingpitch import usage_holding
 from lacewingpitch import usage_lease
 
 # Far beyond a round trip.  Requests that wait then use what the entry may
@@ -66,7 +66,7 @@
     """What an entry knows of one organisation's limit."""
 
     name: str
-    holding: usage_holding.UsageHolding
+    holding: leased_usage.LeasedUsage
     waiters: collections.deque[_Waiter] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -174,7 +174,7 @@
             self._make_room()
             found = _Account(
                 name,
-                usage_holding.UsageHolding(
+                leased_usage.LeasedUsage(
                     limit, self._entry_count(), self._clock
                 ),
             )
--- a/lacewingpitch/usage_owners.py
+++ b/lacewingpitch/usage_ownership.py
@@ -22,7 +22,7 @@
         ...
 
 
-class UsageOwners:
+class UsageOwnership:
     """Finds the owner of a limit among the sidecars.
 
     Sidecars are the processes of the system that every entry knows.  All
--- a/tests/account_fleet.py
+++ b/tests/account_fleet.py
@@ -7,7 +7,7 @@
 from lacewingpitch import account_copy
 from lacewingpitch import account_query
 from lacewingpitch import contract
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import errors
 from lacewingpitch import link
 from lacewingpitch import report
@@ -42,7 +42,7 @@
             membership=fleet,
             peers=types.SimpleNamespace(peer=self._peer),
             sealer=link.Sealer('test', 'x' * 16, name),
-            book=fleet.book,
+            contract_registry=fleet.registry,
         )
         self.holder = account_copy.CopyHolder()
         self.copier = account_copy.AccountCopier(
@@ -83,7 +83,7 @@
         self.by_port = {}
         self.cut_off = set()
         self.listed = {}
-        self.book = contract_book.ContractBook()
+        self.registry = contract_registry.ContractRegistry()
         self.entries = {}
         for number in range(size):
             self.add(f'entry-{number}')
@@ -96,7 +96,7 @@
         found = contract.Contract(
             customer=customer, revision=1, key_digests=()
         )
-        self.book.accept(found)
+        self.registry.accept(found)
         return found
 
     def add(self, name):
--- a/tests/contract_fakes.py
+++ b/tests/contract_fakes.py
@@ -4,8 +4,8 @@
 
 from lacewingpitch import config_service
 from lacewingpitch import contract
-from lacewingpitch import contract_book
 from lacewingpitch import contract_gossip
+from lacewingpitch import contract_registry
 from lacewingpitch import errors
 from lacewingpitch import live_list
 from lacewingpitch import membership
@@ -73,10 +73,12 @@
 
     def restart(self):
         is_entry = self.role is live_list.Role.ENTRY
-        self.book = contract_book.ContractBook(None if is_entry else 0)
+        self.registry = contract_registry.ContractRegistry(
+            None if is_entry else 0
+        )
         self.membership = membership.Membership(self.clock)
         self.gossip = contract_gossip.ContractGossip(
-            self.book,
+            self.registry,
             self.membership,
             self,
             self.clock,
--- a/tests/lease_entries.py
+++ b/tests/lease_entries.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from lacewingpitch import contract
-from lacewingpitch import entry_ring
+from lacewingpitch import customer_limits
 from lacewingpitch import errors
 from lacewingpitch import limit_handover
 from lacewingpitch import limit_lease
-from lacewingpitch import limits
+from lacewingpitch import limit_ownership
 from tests import samples
 
 DELAY_S = 0.001
@@ -46,20 +46,22 @@
     def __init__(self, clock, instance, contracts, link):
         self.instance = instance
         self.name = instance.name
-        self.ring = entry_ring.EntryRing(clock, instance.name, REGION)
-        self.owner = limit_lease.LeaseOwner(clock, self.ring, contracts)
+        self.ownership = limit_ownership.LimitOwnership(
+            clock, instance.name, REGION
+        )
+        self.owner = limit_lease.LimitOwner(clock, self.ownership, contracts)
         self.granter = limit_handover.LeaseGranter(
-            clock, self.ring, self.owner, link
+            clock, self.ownership, self.owner, link
         )
-        self.limits = limits.Limits(
-            clock, self.ring, self.owner, self.granter, link
+        self.limits = customer_limits.CustomerLimits(
+            clock, self.ownership, self.owner, self.granter, link
         )
         self.awake = asyncio.Event()
         self.awake.set()
 
     async def tick(self):
         while True:
-            await asyncio.sleep(limits.TICK_S)
+            await asyncio.sleep(customer_limits.TICK_S)
             await self.awake.wait()
             self.limits.tick()
 
@@ -79,7 +81,7 @@
             for instance in instances
         }
         for entry in self.all.values():
-            entry.ring.update(1, instances)
+            entry.ownership.update(1, instances)
         self.revision = 1
         self._ticks = [
             asyncio.create_task(entry.tick()) for entry in self.all.values()
@@ -93,7 +95,7 @@
 
     def owner_of(self, customer):
         entry = next(iter(self.all.values()))
-        found = entry.ring.owner(customer, REGION)
+        found = entry.ownership.owner(customer, REGION)
         return self.all[found.name] if found else entry
 
     def part(self, some):
@@ -107,7 +109,7 @@
         self.revision += 1
         instances = [self.all[name].instance for name in names]
         for name in to if to is not None else self.all:
-            self.all[name].ring.update(self.revision, instances)
+            self.all[name].ownership.update(self.revision, instances)
 
     async def reach(self, sender, owner):
         entry = self.all[owner.name]
--- a/tests/test_contract_files.py
+++ b/tests/test_contract_files.py
@@ -91,7 +91,7 @@
             '$.revision: 1 -> 2',
             '$.weight: 1.0 -> 2.0',
         )
-        assert not any(change.faults for change in changes)
+        assert not any(change.problems for change in changes)
 
     def test_says_a_change_of_version(self):
         grant = {'name': 'ficus', 'version': '2', 'base_model': 'base'}
@@ -104,11 +104,11 @@
         old = make('a', revision=3)
         new = make('a', revision=revision, weight=2.0)
         (change,) = contract_diff.diff([old], [new])
-        assert change.faults
+        assert change.problems
 
     def test_flags_a_contract_that_was_removed(self):
         (change,) = contract_diff.diff([make('a')], [])
-        assert 'revoked' in change.faults[0]
+        assert 'revoked' in change.problems[0]
 
 
 class TestLoad:
--- a/tests/test_contract_gossip.py
+++ b/tests/test_contract_gossip.py
@@ -14,7 +14,7 @@
 
 def fill(node, count, revision=1, **fields):
     for number in range(count):
-        node.book.accept(
+        node.registry.accept(
             make_contract(f'customer-{number}', revision, **fields)
         )
 
@@ -26,11 +26,11 @@
         fill(one, 300)
         fill(other, 20, revision=2)
         await one.gossip.compare(other.instance)
-        assert one.book.revision('customer-7') == 2
+        assert one.registry.revision('customer-7') == 2
         for _ in range(5):
             await one.gossip.compare(other.instance)
-        assert other.book.revision('customer-299') == 1
-        assert one.book.versions.root == other.book.versions.root
+        assert other.registry.revision('customer-299') == 1
+        assert one.registry.versions.root == other.registry.versions.root
 
     async def test_equal_books_cost_few_bytes(self):
         fleet = contract_fakes.Fleet(ENTRY, ENTRY)
@@ -46,7 +46,7 @@
         fill(entry, 300)
         await sidecar.gossip.settle()
         assert contract_gossip.ContractsRequest not in fleet.sent_kinds
-        assert sidecar.book.versions.root == entry.book.versions.root
+        assert sidecar.registry.versions.root == entry.registry.versions.root
 
     async def test_large_contracts_come_in_several_messages(self):
         fleet = contract_fakes.Fleet(ENTRY, ENTRY)
@@ -54,8 +54,8 @@
         keys = tuple(f'key-{number}' for number in range(3000))
         fill(other, 12, keys=keys)
         await one.gossip.compare(other.instance)
-        assert len(one.book) == 12
-        assert not one.book.outdated
+        assert len(one.registry) == 12
+        assert not one.registry.outdated
         assert max(fleet.sent_bytes) < 1 << 20
 
     async def test_unusable_contract_is_refused_and_leaves_no_gap(self):
@@ -63,30 +63,34 @@
         good = msgspec.json.encode(make_contract('ivy', 1))
         push = contract_gossip.ContractsPush(contracts=(b'{', b'[]', good))
         await node.gossip.answer_push(push)
-        assert node.book.revision('ivy') == 1
-        assert node.book.rejected
+        assert node.registry.revision('ivy') == 1
+        assert node.registry.rejected
 
 
 class TestCatchUp:
     async def test_contract_comes_from_an_entry_if_the_sidecar_lacks_it(self):
         fleet = contract_fakes.Fleet(ENTRY, ENTRY, SIDECAR)
         behind, ahead, sidecar = fleet.nodes
-        behind.book.accept(make_contract('ivy', 1))
-        ahead.book.accept(make_contract('ivy', 2, revoked=True))
-        sidecar.book.note_version('ivy', contract_versions.ContractVersion(2))
+        behind.registry.accept(make_contract('ivy', 1))
+        ahead.registry.accept(make_contract('ivy', 2, revoked=True))
+        sidecar.registry.record_version(
+            'ivy', contract_versions.ContractVersion(2)
+        )
         await behind.gossip.catch_up('ivy', sidecar.instance)
         with pytest.raises(errors.RefusalError) as caught:
-            behind.book.authenticate('ivy')
+            behind.registry.authenticate('ivy')
         assert caught.value.kind is errors.ErrorKind.NOT_IN_CONTRACT
 
     async def test_customer_stays_refused_if_nobody_has_it(self):
         fleet = contract_fakes.Fleet(ENTRY, SIDECAR)
         behind, sidecar = fleet.nodes
-        behind.book.accept(make_contract('ivy', 1))
-        sidecar.book.note_version('ivy', contract_versions.ContractVersion(2))
+        behind.registry.accept(make_contract('ivy', 1))
+        sidecar.registry.record_version(
+            'ivy', contract_versions.ContractVersion(2)
+        )
         await behind.gossip.catch_up('ivy', sidecar.instance)
         with pytest.raises(errors.RefusalError) as caught:
-            behind.book.authenticate('ivy')
+            behind.registry.authenticate('ivy')
         assert caught.value.kind is errors.ErrorKind.CONTRACT_OUTDATED
 
 
@@ -107,16 +111,16 @@
         fleet = contract_fakes.Fleet(*[ENTRY] * 8)
         elected = next(n for n in fleet.nodes if n.gossip.is_watcher)
         other = next(n for n in fleet.nodes if not n.gossip.is_watcher)
-        elected.gossip.note_read(fleet.clock.now_s)
+        elected.gossip.record_read(fleet.clock.now_s)
         fleet.clock.now_s += contract_gossip.WATCHER_SILENCE_S - 1
         await other.gossip.compare(elected.instance)
         assert not other.gossip.must_watch
         fleet.clock.now_s += 2
         assert other.gossip.must_watch
-        other.gossip.note_read(fleet.clock.now_s)
+        other.gossip.record_read(fleet.clock.now_s)
         assert other.gossip.status.view_age_s == 0
         assert other.gossip.must_watch
-        elected.gossip.note_read(fleet.clock.now_s)
+        elected.gossip.record_read(fleet.clock.now_s)
         await other.gossip.compare(elected.instance)
         assert not other.gossip.must_watch
 
--- a/tests/test_contract_book.py
+++ b/tests/test_contract_registry.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks import virtual_time
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import contract_versions
 from lacewingpitch import errors
 from lacewingpitch import live_list
@@ -21,23 +21,23 @@
 make_contract = contract_fakes.make_contract
 
 
-def refusal(book, api_key):
+def refusal(registry, api_key):
     with pytest.raises(errors.RefusalError) as caught:
-        book.authenticate(api_key)
+        registry.authenticate(api_key)
     return caught.value.kind
 
 
 @pytest.fixture
-def book():
-    return contract_book.ContractBook()
+def registry():
+    return contract_registry.ContractRegistry()
 
 
 class TestRevisions:
-    def test_higher_wins_and_lower_is_passed_over(self, book):
-        assert book.accept(make_contract('ivy', 2, weight=2.0))
-        assert not book.accept(make_contract('ivy', 1))
-        assert book.contract('ivy').weight == 2.0
-        assert book.passed_over_count == 1
+    def test_higher_wins_and_lower_is_passed_over(self, registry):
+        assert registry.accept(make_contract('ivy', 2, weight=2.0))
+        assert not registry.accept(make_contract('ivy', 1))
+        assert registry.contract('ivy').weight == 2.0
+        assert registry.stale_count == 1
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.OPERATOR_RACE, Step.ANY)
     @pytest.mark.parametrize('revoked', [0, 1])
@@ -52,16 +52,16 @@
             make_contract('ivy', 3, weight=1.5, revoked=bool(revoked)),
             make_contract('ivy', 3, weight=2.5),
         ]
-        books = [contract_book.ContractBook() for _ in rivals]
+        registries = [contract_registry.ContractRegistry() for _ in rivals]
         for rival in rivals:
-            books[0].accept(rival)
+            registries[0].accept(rival)
         for rival in reversed(rivals):
-            books[1].accept(rival)
-        assert books[0].contract('ivy') == books[1].contract('ivy')
-        assert books[0].versions.root == books[1].versions.root
-        assert all('ivy' in found.conflicts for found in books)
+            registries[1].accept(rival)
+        assert registries[0].contract('ivy') == registries[1].contract('ivy')
+        assert registries[0].versions.root == registries[1].versions.root
+        assert all('ivy' in found.conflicts for found in registries)
         if revoked:
-            assert books[0].contract('ivy').revoked
+            assert registries[0].contract('ivy').revoked
 
     def test_rank_is_the_same_after_a_hop(self):
         sent = make_contract('ivy', 1, weight=2.0)
@@ -71,105 +71,105 @@
             sent
         ) == contract_versions.version_of(received)
 
-    def test_bad_contract_keeps_the_last_good_one(self, book):
-        book.accept(make_contract('ivy', 1))
-        assert not book.accept_json(
+    def test_bad_contract_keeps_the_last_good_one(self, registry):
+        registry.accept(make_contract('ivy', 1))
+        assert not registry.accept_json(
             b'{"customer":"ivy","revision":"two"}', 'x'
         )
-        assert 'revision' in book.rejected['x']
-        assert book.authenticate('ivy').revision == 1
+        assert 'revision' in registry.rejected['x']
+        assert registry.authenticate('ivy').revision == 1
 
 
 class TestKeys:
-    def test_key_dropped_by_a_revision_is_unknown(self, book):
-        book.accept(make_contract('ivy', 1, keys=('old', 'kept')))
-        book.accept(make_contract('ivy', 2, keys=('kept',)))
-        assert refusal(book, 'old') is errors.ErrorKind.UNAUTHENTICATED
-        assert book.authenticate('kept').customer == 'ivy'
+    def test_key_dropped_by_a_revision_is_unknown(self, registry):
+        registry.accept(make_contract('ivy', 1, keys=('old', 'kept')))
+        registry.accept(make_contract('ivy', 2, keys=('kept',)))
+        assert refusal(registry, 'old') is errors.ErrorKind.UNAUTHENTICATED
+        assert registry.authenticate('kept').customer == 'ivy'
 
     @pytest.mark.parametrize('names', [('ivy', 'moss'), ('moss', 'ivy')])
-    def test_key_of_two_customers_serves_neither(self, book, names):
+    def test_key_of_two_customers_serves_neither(self, registry, names):
         """A customer's requests are billed to, and limited by, another.
 
         An operator lists one key in two contracts.  The cause would be a
         table of keys in which the last to arrive takes the key over.
         """
         for name in names:
-            book.accept(make_contract(name, 1, keys=('shared', name)))
-        assert refusal(book, 'shared') is errors.ErrorKind.UNAUTHENTICATED
-        assert names[1] in book.conflicts
+            registry.accept(make_contract(name, 1, keys=('shared', name)))
+        assert refusal(registry, 'shared') is errors.ErrorKind.UNAUTHENTICATED
+        assert names[1] in registry.conflicts
         for name in names:
-            assert book.authenticate(name).customer == name
+            assert registry.authenticate(name).customer == name
 
-    def test_mended_clash_leaves_the_key_with_its_owner(self, book):
+    def test_mended_clash_leaves_the_key_with_its_owner(self, registry):
         """A customer is locked out after another gave up its key.
 
         Two contracts list a key, then one drops it.  The cause would be
         that dropping removes the key whoever else lists it.
         """
-        book.accept(make_contract('ivy', 1, keys=('shared',)))
-        book.accept(make_contract('moss', 1, keys=('shared',)))
-        book.accept(make_contract('moss', 2, keys=('own',)))
-        assert book.authenticate('shared').customer == 'ivy'
-        assert 'moss' not in book.conflicts
-
-    def test_key_of_a_revoked_contract_can_move(self, book):
-        book.accept(make_contract('ivy', 1))
-        book.accept(make_contract('ivy', 2, revoked=True))
-        assert refusal(book, 'ivy') is errors.ErrorKind.NOT_IN_CONTRACT
-        book.accept(make_contract('ivy-gmbh', 1, keys=('ivy',)))
-        assert book.authenticate('ivy').customer == 'ivy-gmbh'
-
-    def test_key_twice_in_one_contract_is_no_clash(self, book):
-        book.accept(make_contract('ivy', 1, keys=('ivy', 'ivy')))
-        assert book.authenticate('ivy').customer == 'ivy'
-        book.accept(make_contract('ivy', 2))
-        assert not book.conflicts
+        registry.accept(make_contract('ivy', 1, keys=('shared',)))
+        registry.accept(make_contract('moss', 1, keys=('shared',)))
+        registry.accept(make_contract('moss', 2, keys=('own',)))
+        assert registry.authenticate('shared').customer == 'ivy'
+        assert 'moss' not in registry.conflicts
+
+    def test_key_of_a_revoked_contract_can_move(self, registry):
+        registry.accept(make_contract('ivy', 1))
+        registry.accept(make_contract('ivy', 2, revoked=True))
+        assert refusal(registry, 'ivy') is errors.ErrorKind.NOT_IN_CONTRACT
+        registry.accept(make_contract('ivy-gmbh', 1, keys=('ivy',)))
+        assert registry.authenticate('ivy').customer == 'ivy-gmbh'
+
+    def test_key_twice_in_one_contract_is_no_clash(self, registry):
+        registry.accept(make_contract('ivy', 1, keys=('ivy', 'ivy')))
+        assert registry.authenticate('ivy').customer == 'ivy'
+        registry.accept(make_contract('ivy', 2))
+        assert not registry.conflicts
 
 
 class TestOutdated:
-    def test_known_version_without_contract_refuses(self, book):
-        book.accept(make_contract('ivy', 1))
-        book.note_version('ivy', contract_versions.ContractVersion(2))
-        assert refusal(book, 'ivy') is errors.ErrorKind.CONTRACT_OUTDATED
-        assert refusal(book, 'other') is errors.ErrorKind.CONTRACT_OUTDATED
-        book.accept(make_contract('ivy', 2))
-        assert book.authenticate('ivy').revision == 2
-        assert refusal(book, 'other') is errors.ErrorKind.UNAUTHENTICATED
-
-    def test_lower_version_noted_changes_nothing(self, book):
-        book.accept(make_contract('ivy', 2))
-        book.note_version('ivy', contract_versions.ContractVersion(1, 9))
-        assert book.authenticate('ivy').revision == 2
+    def test_known_version_without_contract_refuses(self, registry):
+        registry.accept(make_contract('ivy', 1))
+        registry.record_version('ivy', contract_versions.ContractVersion(2))
+        assert refusal(registry, 'ivy') is errors.ErrorKind.CONTRACT_OUTDATED
+        assert refusal(registry, 'other') is errors.ErrorKind.CONTRACT_OUTDATED
+        registry.accept(make_contract('ivy', 2))
+        assert registry.authenticate('ivy').revision == 2
+        assert refusal(registry, 'other') is errors.ErrorKind.UNAUTHENTICATED
+
+    def test_lower_version_noted_changes_nothing(self, registry):
+        registry.accept(make_contract('ivy', 2))
+        registry.record_version('ivy', contract_versions.ContractVersion(1, 9))
+        assert registry.authenticate('ivy').revision == 2
 
     def test_order_under_an_older_revision_is_refused(self):
-        book = contract_book.ContractBook(capacity_contracts=1)
-        book.check_order('ivy', 2)
-        book.check_order('ivy', 2)
-        book.check_order('ivy', 3)
+        registry = contract_registry.ContractRegistry(capacity_contracts=1)
+        registry.check_revision('ivy', 2)
+        registry.check_revision('ivy', 2)
+        registry.check_revision('ivy', 3)
         with pytest.raises(errors.RefusalError) as caught:
-            book.check_order('ivy', 2)
+            registry.check_revision('ivy', 2)
         assert caught.value.kind is errors.ErrorKind.CONTRACT_OUTDATED
         assert caught.value.outcome is errors.Outcome.NOT_RUN
         assert not caught.value.retry_elsewhere
 
     def test_revoked_while_queued_is_refused(self):
-        book = contract_book.ContractBook(capacity_contracts=1)
-        book.check_order('ivy', 1)
-        book.check_revoked('ivy')
-        book.accept(make_contract('ivy', 2, revoked=True))
+        registry = contract_registry.ContractRegistry(capacity_contracts=1)
+        registry.check_revision('ivy', 1)
+        registry.check_revoked('ivy')
+        registry.accept(make_contract('ivy', 2, revoked=True))
         with pytest.raises(errors.RefusalError) as caught:
-            book.check_revoked('ivy')
+            registry.check_revoked('ivy')
         assert caught.value.kind is errors.ErrorKind.NOT_IN_CONTRACT
 
     def test_bounded_book_keeps_versions_of_all(self):
-        book = contract_book.ContractBook(capacity_contracts=1)
-        book.accept(make_contract('ivy', 4))
-        book.accept(make_contract('moss', 5))
-        assert len(book) == 1
-        assert book.revision('ivy') == 4
-        assert book.encoded(('ivy',)) == []
-        assert not book.accept(make_contract('ivy', 4))
+        registry = contract_registry.ContractRegistry(capacity_contracts=1)
+        registry.accept(make_contract('ivy', 4))
+        registry.accept(make_contract('moss', 5))
+        assert len(registry) == 1
+        assert registry.revision('ivy') == 4
+        assert registry.encoded(('ivy',)) == []
+        assert not registry.accept(make_contract('ivy', 4))
 
 
 _CUSTOMERS = ('ivy', 'moss')
@@ -257,15 +257,15 @@
             if frozenset((node, other.number)) in self.fleet.cut:
                 continue
             for customer in _CUSTOMERS:
-                assert restarted.book.versions.version(
+                assert restarted.registry.versions.version(
                     customer
-                ) >= other.book.versions.version(customer)
+                ) >= other.registry.versions.version(customer)
 
     @stateful.invariant()
     def versions_only_rise(self):
         for node, floor in zip(self.fleet.nodes, self.floor, strict=True):
             for customer in _CUSTOMERS:
-                version = node.book.versions.version(customer)
+                version = node.registry.versions.version(customer)
                 assert version >= floor.get(customer, version)
                 floor[customer] = version
 
@@ -274,12 +274,12 @@
         for node in self.fleet.nodes:
             for customer in _CUSTOMERS:
                 try:
-                    found = node.book.authenticate(customer)
+                    found = node.registry.authenticate(customer)
                 except errors.RefusalError:
                     continue
                 assert not found.revoked
                 version = contract_versions.version_of(found)
-                assert version == node.book.versions.version(customer)
+                assert version == node.registry.versions.version(customer)
 
     @stateful.rule()
     def all_agree_once_healed(self):
@@ -287,7 +287,7 @@
         for _ in range(3):
             for one in range(_NODE_COUNT):
                 self._compare(one, (one + 1) % _NODE_COUNT)
-        roots = {node.book.versions.root for node in self.fleet.nodes}
+        roots = {node.registry.versions.root for node in self.fleet.nodes}
         assert len(roots) == 1
 
     def _read(self, node, back):
@@ -295,7 +295,7 @@
         service = contract_fakes.FakeService()
         service.put_shards(a=[c for c in shown.values() if c])
         reader = published_contracts.PublishedContracts(
-            service, node.book, node.clock
+            service, node.registry, node.clock
         )
         self.runner.run(reader.read_once())
 
--- a/tests/test_limits.py
+++ b/tests/test_customer_limits.py
@@ -57,9 +57,9 @@
 async def call(entry, contract, run_s=0.0, max_tokens=1, tokens=1):
     """Return ``None`` if admitted, else the refusal."""
     try:
-        async with entry.limits.admit(contract, max_tokens) as permit:
+        async with entry.limits.admit(contract, max_tokens) as admitted:
             await asyncio.sleep(run_s)
-            permit.tokens = tokens
+            admitted.used_tokens = tokens
     except errors.RefusalError as error:
         return error
     return None
@@ -152,7 +152,7 @@
         ]
         await asyncio.sleep(1.0)
         running = sum(
-            customer.holding.running
+            customer.leased.running
             for entry in entries.all.values()
             for customer in entry.limits._customers.values()
         )
@@ -231,7 +231,7 @@
             await asyncio.gather(*calls, return_exceptions=True)
             await asyncio.sleep(10.0)
         customer = entry.limits._customers.get(CUSTOMER)
-        assert customer is None or customer.holding.running == 0
+        assert customer is None or customer.leased.running == 0
         calls = [call(entry, entries.contract, run_s=1) for _ in range(PLACES)]
         assert await asyncio.gather(*calls) == [None] * PLACES
 
@@ -255,7 +255,7 @@
         await asyncio.gather(waiting, return_exceptions=True)
         for place in held[1:]:
             await place.__aexit__(None, None, None)
-        assert limits._customers[CUSTOMER].holding.running == 0
+        assert limits._customers[CUSTOMER].leased.running == 0
 
     @pytest.mark.proves(Promise.LIMITS, Fault.KILLED, Step.MID_STREAM)
     @in_virtual_time
@@ -275,7 +275,7 @@
             await asyncio.sleep(4.0)
         entries.dead.add(owner.name)
         entries.publish([e.name for e in others(entries)])
-        await asyncio.sleep(limit_lease.LEASE_S + 1)
+        await asyncio.sleep(limit_lease.LEASE_DURATION_S + 1)
         late = asyncio.create_task(call(second, entries.contract))
         await asyncio.sleep(2.0)
         assert not late.done()
@@ -336,7 +336,7 @@
                     found = await call(entry, contract)
                     admitted += found is None and second >= 20
         run_s = loop.time() - cut_s
-        lease = 20 * 2 / COUNT * limit_lease.LEASE_S
+        lease = 20 * 2 / COUNT * limit_lease.LEASE_DURATION_S
         share = 2 * BURST / COUNT
         assert admitted <= BURST + 20 * run_s + lease + share + 8
         assert admitted >= 0.9 * 20 * run_s
--- a/tests/test_limits_processes.py
+++ b/tests/test_customer_limits_processes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from lacewingpitch import contract
-from lacewingpitch import entry_ring
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from lacewingpitch import link as link_module
 from lacewingpitch import live_list
 from lacewingpitch import settings
@@ -79,7 +79,7 @@
 
 def owner_number(customer, listed=range(3)):
     """Return which entry owns a customer, by a list of some entries."""
-    ring = entry_ring.EntryRing(Clockless(), '', 'region-a')
+    ownership = limit_ownership.LimitOwnership(Clockless(), '', 'region-a')
     entries = [
         live_list.Instance(
             name=f'entry-{number}',
@@ -92,8 +92,8 @@
         )
         for number in listed
     ]
-    ring.update(1, entries)
-    return int(ring.owner(customer, 'region-a').name.split('-')[1])
+    ownership.update(1, entries)
+    return int(ownership.owner(customer, 'region-a').name.split('-')[1])
 
 
 async def until_leasing(deployment, number, customer):
@@ -302,7 +302,7 @@
             await until_leasing(deployment, owner_number(LARGE, rest), LARGE)
             # Its own lease ends meanwhile.
             asleep = await Press(
-                deployment, rest, limit_lease.LEASE_S + 0.5, LARGE
+                deployment, rest, limit_lease.LEASE_DURATION_S + 0.5, LARGE
             ).run()
             assert asleep.total >= 0.4 * RATE_PER_S * asleep.passed_s
             woken_s = time.monotonic()
--- a/tests/test_limit_lease.py
+++ b/tests/test_limit_lease.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from lacewingpitch import entry_ring
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from tests import clocks
 from tests import fault_matrix
 from tests import lease_entries
@@ -34,19 +34,19 @@
         self.instances = [
             lease_entries.make_instance(number) for number in range(count)
         ]
-        self.rings = {}
+        self.ownerships = {}
         self.owners = {}
         for instance in self.instances:
-            ring = entry_ring.EntryRing(
+            ownership = limit_ownership.LimitOwnership(
                 self.clock, instance.name, lease_entries.REGION
             )
-            ring.update(1, self.instances)
-            self.rings[instance.name] = ring
-            self.owners[instance.name] = limit_lease.LeaseOwner(
-                self.clock, ring, self.contracts
+            ownership.update(1, self.instances)
+            self.ownerships[instance.name] = ownership
+            self.owners[instance.name] = limit_lease.LimitOwner(
+                self.clock, ownership, self.contracts
             )
         self.sequence = 0
-        first = self.rings[self.instances[0].name]
+        first = self.ownerships[self.instances[0].name]
         found = first.owner(CUSTOMER, lease_entries.REGION)
         self.owner_name = found.name if found else self.instances[0].name
 
@@ -133,12 +133,12 @@
 
     def test_lapse_with_the_lease(self, table):
         table.lease('entry-9', running=PLACES, renews=True)
-        table.age(limit_lease.LEASE_S + 0.5)
+        table.age(limit_lease.LEASE_DURATION_S + 0.5)
         assert table.lease('entry-1', running=PLACES).running == PLACES
 
     def test_share_of_a_silent_holder_stays_free(self, table):
         table.lease('entry-1', running=1, renews=True)
-        table.age(limit_lease.LEASE_S + 0.5)
+        table.age(limit_lease.LEASE_DURATION_S + 0.5)
         assert table.lease('entry-2', running=9).running == PLACES - 2
 
 
@@ -155,10 +155,10 @@
         table.age(60)
         assert table.lease(requests=BURST).requests == BURST
         rest = [i for i in table.instances if i.name != table.owner_name]
-        for name, ring in table.rings.items():
+        for name, ownership in table.ownerships.items():
             if name != table.owner_name:
-                ring.update(2, rest)
-        found = table.rings[rest[0].name].owner(CUSTOMER, 'default')
+                ownership.update(2, rest)
+        found = table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         table.owner_name = found.name if found else rest[0].name
         assert table.lease(requests=BURST).requests <= BURST / len(rest)
 
@@ -175,15 +175,15 @@
         old_name, old = table.owner_name, table.owner
         rest = [i for i in table.instances if i.name != old_name]
         for instance in rest:
-            table.rings[instance.name].update(2, rest)
-        found = table.rings[rest[0].name].owner(CUSTOMER, 'default')
+            table.ownerships[instance.name].update(2, rest)
+        found = table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         new_name = found.name if found else rest[0].name
         new = table.owners[new_name]
         ask = table.ask('entry-2', requests=5, running=PLACES)
         asked = new.pending_handovers(ask.wants)
         assert [previous.name for previous in asked] == [old_name]
         message = limit_lease.HandOver(
-            owner=table.rings[new_name].this_instance(),
+            owner=table.ownerships[new_name].this_instance(),
             revision=2,
             customers=(CUSTOMER,),
         )
@@ -202,7 +202,7 @@
         hand over.  The cause would be an owner that obeys an older list.
         """
         table.lease(requests=BURST)
-        table.rings[table.owner_name].update(5, table.instances)
+        table.ownerships[table.owner_name].update(5, table.instances)
         message = limit_lease.HandOver(
             owner=lease_entries.make_instance(9),
             revision=4,
@@ -233,7 +233,7 @@
         table = Table()
         part = table.lease('entry-1', running=PLACES)
         assert part.running == PLACES // 3
-        table.age(limit_lease.LEASE_S)
+        table.age(limit_lease.LEASE_DURATION_S)
         part = table.lease('entry-1', running=PLACES)
         assert part.running == PLACES
 
@@ -330,10 +330,10 @@
             return
         rest = [i for i in self.table.instances if i.name != name]
         self.table.instances = rest
-        del self.table.rings[name], self.table.owners[name]
-        for ring in self.table.rings.values():
-            ring.update(ring.revision + 1, rest)
-        found = self.table.rings[rest[0].name].owner(CUSTOMER, 'default')
+        del self.table.ownerships[name], self.table.owners[name]
+        for ownership in self.table.ownerships.values():
+            ownership.update(ownership.revision + 1, rest)
+        found = self.table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         self.table.owner_name = found.name if found else rest[0].name
         self._start_anew()
 
--- a/tests/test_published_contracts.py
+++ b/tests/test_published_contracts.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lacewingpitch import config_service
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import errors
 from lacewingpitch import published_contracts
 from lacewingpitch import standin_platform
@@ -24,51 +24,53 @@
 
 
 @pytest.fixture
-def book():
-    return contract_book.ContractBook()
+def registry():
+    return contract_registry.ContractRegistry()
 
 
 @pytest.fixture
-def reader(service, book):
+def reader(service, registry):
     return published_contracts.PublishedContracts(
-        service, book, clocks.ManualClock(1000.0), seed=1
+        service, registry, clocks.ManualClock(1000.0), seed=1
     )
 
 
 class TestReading:
-    async def test_reads_only_shards_that_changed(self, service, reader, book):
+    async def test_reads_only_shards_that_changed(
+        self, service, reader, registry
+    ):
         service.put_shards(
             a=[make_contract('ivy', 1)], b=[make_contract('moss', 1)]
         )
         await reader.read_once()
-        assert len(book) == 2
+        assert len(registry) == 2
         service.read_names.clear()
         service.put_shards(a=[make_contract('ivy', 2)])
         await reader.watch_once(0)
         assert service.read_names == [INDEX, 'a']
-        assert book.revision('ivy') == 2
+        assert registry.revision('ivy') == 2
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.CONFIG_DOWN, Step.ANY)
     async def test_down_service_leaves_contracts_in_force(
-        self, service, reader, book
+        self, service, reader, registry
     ):
         """Every caller is refused while the configuration service is down.
 
         Contracts were read, then the service goes down.  The cause would
-        be a reader that empties the book when it cannot read.
+        be a reader that empties the registry when it cannot read.
         """
         service.put_shards(a=[make_contract('ivy', 1)])
         await reader.read_once()
         service.is_down = True
         with pytest.raises(errors.PlatformError):
             await reader.watch_once(0)
-        assert book.authenticate('ivy').revision == 1
+        assert registry.authenticate('ivy').revision == 1
 
 
 class TestJumpBack:
     @pytest.mark.proves(Promise.CONTRACTS, Fault.CONFIG_STALE, Step.ANY)
     async def test_old_state_reverts_nothing_and_hides_nothing(
-        self, service, reader, book
+        self, service, reader, registry
     ):
         """A revoked customer is served again, or a change never arrives.
 
@@ -85,13 +87,13 @@
         service.values, service.revision = old
         await reader.watch_once(0)
         assert reader.jump_back_count == 1
-        assert book.contract('ivy').revoked
+        assert registry.contract('ivy').revoked
         service.put_shards(a=[make_contract('ivy', 4)])
         await reader.watch_once(0)
-        assert book.authenticate('ivy').revision == 4
+        assert registry.authenticate('ivy').revision == 4
 
     async def test_shard_that_lags_behind_its_index_is_read_again(
-        self, service, reader, book
+        self, service, reader, registry
     ):
         """A change is lost at one instance for good.
 
@@ -107,13 +109,13 @@
         contracts = [make_contract('ivy', 1)]
         service.put('a', {'revision': 2, 'contracts': contracts})
         await reader.watch_once(0)
-        assert book.revision('ivy') == 1
+        assert registry.revision('ivy') == 1
         assert not reader.problems
 
 
 class TestBadValues:
     async def test_missing_shard_holds_up_no_other(
-        self, service, reader, book
+        self, service, reader, registry
     ):
         service.put_shards(
             a=[make_contract('ivy', 1)], b=[make_contract('moss', 1)]
@@ -121,21 +123,21 @@
         kept = service.values.pop('a')
         await reader.read_once()
         assert 'no value a' in reader.problems['a']
-        assert book.revision('moss') == 1
+        assert registry.revision('moss') == 1
         service.values['a'] = kept
         await reader.watch_once(0)
-        assert book.revision('ivy') == 1
+        assert registry.revision('ivy') == 1
         assert not reader.problems
 
     async def test_shard_that_goes_missing_ends_nothing(
-        self, service, reader, book
+        self, service, reader, registry
     ):
         service.put_shards(a=[make_contract('ivy', 1)])
         await reader.read_once()
         service.values.pop('a')
         service.put_index()
         await reader.watch_once(0)
-        assert book.authenticate('ivy').revision == 1
+        assert registry.authenticate('ivy').revision == 1
 
     @pytest.mark.parametrize(
         'content',
@@ -143,7 +145,7 @@
         ids=['empty', 'not JSON', 'no list', 'too large'],
     )
     async def test_unusable_shard_keeps_the_last_good_one(
-        self, service, reader, book, content
+        self, service, reader, registry, content
     ):
         service.put_shards(
             a=[make_contract('ivy', 1)], b=[make_contract('moss', 1)]
@@ -155,54 +157,56 @@
         service.put_index()
         await reader.watch_once(0)
         assert list(reader.problems) == ['a']
-        assert book.revision('ivy') == 1
-        assert book.revision('moss') == 2
+        assert registry.revision('ivy') == 1
+        assert registry.revision('moss') == 2
 
     @pytest.mark.parametrize('content', [b'{}', b'not JSON', b'[]'])
     async def test_unusable_index_keeps_the_last_good_one(
-        self, service, reader, book, content
+        self, service, reader, registry, content
     ):
         service.put_shards(a=[make_contract('ivy', 1)])
         await reader.read_once()
         service.put_raw(INDEX, content, service.revision + 1)
         await reader.watch_once(0)
         assert INDEX in reader.problems
-        assert book.revision('ivy') == 1
+        assert registry.revision('ivy') == 1
         service.revision += 1
         service.put_shards(a=[make_contract('ivy', 2)])
         await reader.watch_once(0)
-        assert book.revision('ivy') == 2
+        assert registry.revision('ivy') == 2
         assert not reader.problems
 
-    async def test_bad_contract_among_good_ones(self, service, reader, book):
+    async def test_bad_contract_among_good_ones(
+        self, service, reader, registry
+    ):
         good = [make_contract('ivy', 1), make_contract('moss', 1)]
         service.put_shards(a=[good[0], {'customer': 'fern'}, good[1]])
         await reader.read_once()
         assert {'ivy', 'moss'} == {
-            c for c in ('ivy', 'fern', 'moss') if book.contract(c)
+            c for c in ('ivy', 'fern', 'moss') if registry.contract(c)
         }
-        assert 'revision' in book.rejected['a[1]']
+        assert 'revision' in registry.rejected['a[1]']
         service.put_shards(a=good)
         await reader.watch_once(0)
-        assert not book.rejected
+        assert not registry.rejected
 
     @pytest.mark.parametrize('order', [(1, 2), (2, 1)])
     async def test_customer_twice_in_a_shard_gets_the_higher(
-        self, service, reader, book, order
+        self, service, reader, registry, order
     ):
         service.put_shards(a=[make_contract('ivy', n) for n in order])
         await reader.read_once()
-        assert book.revision('ivy') == 2
+        assert registry.revision('ivy') == 2
 
     async def test_lower_revision_with_other_content_is_passed_over(
-        self, service, reader, book
+        self, service, reader, registry
     ):
         service.put_shards(a=[make_contract('ivy', 5)])
         await reader.read_once()
         service.put_shards(a=[make_contract('ivy', 4, weight=9.0)])
         await reader.watch_once(0)
-        assert book.contract('ivy').weight == 1.0
-        assert book.passed_over_count == 1
+        assert registry.contract('ivy').weight == 1.0
+        assert registry.stale_count == 1
 
 
 class TestValueSize:
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -266,7 +266,7 @@
     async def ask(self):
         fleet = account_fleet.Fleet()
         for customer, key in (('haneul', KEY), ('caravan', 'other')):
-            fleet.book.accept(
+            fleet.registry.accept(
                 contract.Contract(
                     customer=customer,
                     revision=1,
@@ -276,7 +276,7 @@
         server = http_server.HttpServer(1 << 20)
         self.server = report_server.ReportServer(
             fleet.entries['entry-0'].reporter,
-            fleet.book,
+            fleet.registry,
             contract.digest_key(TOKEN),
             fleet.clock,
         )
--- a/tests/test_usage_lease.py
+++ b/tests/test_usage_lease.py
@@ -35,7 +35,7 @@
             version=version,
             wants=(usage_lease.UsageWant(**{**fields, **changed}),),
         )
-        return asyncio.run(self.owner.answer(message)).grants[0]
+        return asyncio.run(self.owner.grant(message)).grants[0]
 
 
 @pytest.fixture
--- a/tests/test_usage_owners.py
+++ b/tests/test_usage_ownership.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from lacewingpitch import backend_list
-from lacewingpitch import usage_owners
+from lacewingpitch import usage_ownership
 from tests import clocks
 
 ENGINES = tuple(
@@ -27,7 +27,7 @@
     def __init__(self, *listed):
         self.clock = clocks.ManualClock(100.0)
         self.servers = Servers(*listed)
-        self.owners = usage_owners.UsageOwners(
+        self.owners = usage_ownership.UsageOwnership(
             self.servers, lambda service: service == 'chat', self.clock
         )
 
--- a/tests/usage_fakes.py
+++ b/tests/usage_fakes.py
@@ -19,7 +19,7 @@
         self.messages.append(message)
         if self.is_silent:
             raise errors.NoReplyError('silent')
-        return await self.owner.answer(message)
+        return await self.owner.grant(message)
 
 
 class OneOwner:
