--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -44,63 +44,69 @@
         Promise.LEAVING, Fault.LIST_WRONG, Step.BEFORE_ADMISSION
     )
     def test_older_list_brings_back_no_leaving_instance(self, members, clock):
-        """A request goes to a backend server that was told to leave.
+        """Guards against requests to a backend server that is leaving.
 
-        The list falls back to a state from before that, first for a
-        moment and then for good.  The cause would be to follow it as it
-        is.
+        The list rolls back to a state from before the server was leaving,
+        first for a moment and then permanently.  Applying the older list
+        unchanged would show the server as live again.
         """
         leaving = make_instance('a', state=LEAVING)
         publish(members, 5, leaving, make_instance('b'))
         older = (make_instance('a'), make_instance('b'), make_instance('c'))
         publish(members, 4, *older)
         assert names(members) == ['b']
-        clock.now_s += membership.JUMP_BACK_S
+        clock.now_s += membership.ROLLBACK_ACCEPT_S
         publish(members, 4, *older)
         assert names(members) == ['b', 'c']
         publish(members, 5, *older)
         assert names(members) == ['a', 'b', 'c']
 
-    def test_moments_of_older_lists_do_not_add_up(self, members, clock):
+    def test_separate_moments_of_older_lists_do_not_add_up(
+        self, members, clock
+    ):
         publish(members, 5, make_instance('a'))
         publish(members, 4, make_instance('b'))
-        clock.now_s += membership.JUMP_BACK_S
+        clock.now_s += membership.ROLLBACK_ACCEPT_S
         publish(members, 5, make_instance('a'))
         publish(members, 4, make_instance('b'))
         assert names(members) == ['a']
 
-    def test_empty_list_drops_nobody(self, members):
-        """Every caller is refused although all backend servers work.
+    def test_empty_list_removes_no_instance(self, members):
+        """Guards against refusing every caller after an empty list.
 
-        The platform loses its list and publishes an empty one.  The
-        cause would be to follow it.
+        The platform loses its list and publishes an empty one, although
+        all backend servers work.
         """
         publish(members, 1, make_instance('a'))
         publish(members, 2)
         assert names(members) == ['a']
-        assert members.passed_over_count == 1
+        assert members.ignored_count == 1
         publish(members, 3, make_instance('b'))
         assert names(members) == ['b']
 
     @pytest.mark.parametrize('is_first', [True, False])
     def test_listed_twice_counts_the_later_process(self, members, is_first):
-        twins = [
+        duplicates = [
             make_instance('a', started_at_s=2.0, work_port=7),
             make_instance('a', started_at_s=1.0, state=LEAVING),
         ]
-        publish(members, 1, *(twins if is_first else reversed(twins)))
+        publish(
+            members, 1, *(duplicates if is_first else reversed(duplicates))
+        )
         assert [i.work_port for i in members.sidecars('base')] == [7]
 
     @pytest.mark.parametrize('is_first', [True, False])
     def test_listed_twice_as_live_and_leaving_is_leaving(
         self, members, is_first
     ):
-        twins = [make_instance('a'), make_instance('a', state=LEAVING)]
-        publish(members, 1, *(twins if is_first else reversed(twins)))
+        duplicates = [make_instance('a'), make_instance('a', state=LEAVING)]
+        publish(
+            members, 1, *(duplicates if is_first else reversed(duplicates))
+        )
         assert names(members) == []
         assert members.is_leaving('a')
 
-    def test_another_deployment_is_passed_over(self, members):
+    def test_another_deployment_is_ignored(self, members):
         publish(
             members,
             1,
@@ -118,28 +124,28 @@
         assert found.instances == (make_instance('a'),)
 
 
-class TestOwnWord:
-    def test_word_of_leaving_comes_before_the_list(self, members, clock):
+class TestLeavingMark:
+    def test_mark_overrides_the_list_until_it_expires(self, members, clock):
         publish(members, 1, make_instance('a'), make_instance('b'))
         members.note_leaving('a')
         publish(members, 2, make_instance('a'), make_instance('b'))
         assert names(members) == ['b']
-        clock.now_s += membership.LEAVING_WORD_S
+        clock.now_s += membership.LEAVING_MARK_S
         assert names(members) == ['a', 'b']
 
-    def test_successor_of_that_name_takes_work(self, members):
+    def test_new_process_under_the_name_is_available(self, members):
         publish(members, 1, make_instance('a'))
         members.note_leaving('a')
         members.suspect('a')
         publish(members, 2, make_instance('a', started_at_s=9.0))
         assert names(members) == ['a']
 
-    def test_word_by_a_list_ends_with_that_list(self, members):
-        """No backend server is known to be live, and all are.
+    def test_newer_list_clears_a_mark_set_by_an_older_one(self, members):
+        """Guards against an entry that finds no available server.
 
-        Operators have a server leave, and stay at once.  It refuses by
-        the first list; an entry hears that, and only ever sees the next
-        list.  Then another server leaves.
+        Operators make a server leave and cancel that at once.  The server
+        refuses a call because of the first list; the entry marks it, and
+        receives only the second list.  Then another server leaves.
         """
         publish(members, 1, make_instance('a'), make_instance('b'))
         members.note_leaving('a', 2)
@@ -148,14 +154,14 @@
         publish(members, 3, make_instance('a'), leaving)
         assert names(members) == ['a']
 
-    def test_word_by_an_older_list_holds_for_a_moment(self, members, clock):
+    def test_mark_by_an_older_list_expires_soon(self, members, clock):
         publish(members, 3, make_instance('a'), make_instance('b'))
         members.note_leaving('a', 2)
         assert names(members) == ['b']
         clock.now_s += 1.0
         assert names(members) == ['a', 'b']
 
-    def test_word_by_a_list_holds_while_the_list_says_so(self, members):
+    def test_mark_by_a_list_lasts_while_lists_show_leaving(self, members):
         leaving = make_instance('a', state=LEAVING)
         publish(members, 1, make_instance('a'), make_instance('b'))
         members.note_leaving('a', 2)
@@ -163,10 +169,11 @@
         publish(members, 3, leaving, make_instance('b'))
         assert names(members) == ['b']
 
-    def test_a_signal_goes_before_a_list(self, members):
-        """A server that was told to end gets new work.
+    def test_leaving_by_a_signal_overrides_a_newer_list(self, members):
+        """Guards against new work for a server that was signalled to end.
 
-        It said first that it leaves by the list, and then by itself.
+        The server reports first that it is leaving because of the list,
+        and then because of a signal.
         """
         publish(members, 1, make_instance('a'), make_instance('b'))
         members.note_leaving('a', 2)
@@ -174,7 +181,7 @@
         publish(members, 3, make_instance('a'), make_instance('b'))
         assert names(members) == ['b']
 
-    def test_suspect_is_passed_over_for_a_while(self, members, clock):
+    def test_suspect_is_excluded_until_its_mark_expires(self, members, clock):
         publish(members, 1, make_instance('a'))
         members.suspect('a', for_s=2.0)
         assert names(members) == []
@@ -192,7 +199,7 @@
 class _FakeList:
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asked = []
+        self.calls = []
 
     async def watch(self, after_revision, timeout_s):
         return self.answer(f'watch after {after_revision}')
@@ -200,8 +207,8 @@
     async def read(self, unless_revision):
         return self.answer(f'read unless {unless_revision}')
 
-    def answer(self, question):
-        self.asked.append(question)
+    def answer(self, call):
+        self.calls.append(call)
         answer = self.answers.pop(0)
         if isinstance(answer, Exception):
             raise answer
@@ -209,13 +216,13 @@
 
 
 class TestFollow:
-    async def test_fallen_back_list_is_found_by_a_plain_read(self, members):
+    async def test_rolled_back_list_is_found_by_a_plain_read(self, members):
         publish(members, 5, make_instance('a'))
         older = live_list.InstanceList(4, (make_instance('b'),))
         source = _FakeList(None, older)
         await members.follow_once(source)
-        assert source.asked == ['watch after 5', 'read unless 5']
-        assert members.passed_over_count == 1
+        assert source.calls == ['watch after 5', 'read unless 5']
+        assert members.ignored_count == 1
 
     async def test_unchanged_list_is_confirmed_without_its_bytes(
         self, members, clock
@@ -236,18 +243,19 @@
         assert names(members) == ['a']
 
 
-class TestKeptSidecars:
-    """What is kept between requests against what the marks say."""
+class TestSidecarCache:
+    """The cached set of sidecars, compared with the marks."""
 
     @pytest.mark.proves(
         Promise.LEAVING, Fault.LIST_WRONG, Step.BEFORE_ADMISSION
     )
     def test_never_older_than_a_mark(self):
-        """A request goes to a backend server that said it leaves.
+        """Guards against requests to a server that is leaving.
 
-        The set of sidecars is kept from the request before; then one
-        says it leaves, or the list does, in any order.  The cause would
-        be keeping the set over a mark, a list or the end of a mark.
+        The set of sidecars is cached by an earlier request.  Then a
+        sidecar, or the list, reports that it is leaving, in any order.
+        The set must not stay cached across a mark, a list or the expiry
+        of a mark.
         """
         kinds = ('suspect', 'leaves', 'wait', 'wait long', 'list', 'unlist')
         for steps in itertools.product(kinds, repeat=4):
@@ -264,7 +272,7 @@
                 suspect_until_s = clock.now_s + 5.0
             elif step == 'leaves':
                 members.note_leaving('a')
-                leaving_until_s = clock.now_s + membership.LEAVING_WORD_S
+                leaving_until_s = clock.now_s + membership.LEAVING_MARK_S
             elif step.startswith('wait'):
                 clock.now_s += 5.0 if step == 'wait' else 60.0
             else:
@@ -278,9 +286,9 @@
             )
             assert names(members) == (['a', 'b'] if is_used else ['b']), steps
 
-    def test_kept_until_something_changes(self, members, clock):
+    def test_cached_until_something_changes(self, members, clock):
         publish(members, 1, make_instance('a'), make_instance('b'))
-        kept = members.sidecars('base')
-        assert members.sidecars('base') is kept
+        cached = members.sidecars('base')
+        assert members.sidecars('base') is cached
         members.suspect('a', 1.0)
-        assert members.sidecars('base') is not kept
+        assert members.sidecars('base') is not cached
