--- a/lacewingpitch/access.py
+++ b/lacewingpitch/access.py
@@ -1,4 +1,4 @@
-"""Decides who may call a route, by the caller's API key."""
+"""Authentication of requests by API key, and access to routes."""
 
 import math
 import random
@@ -8,33 +8,35 @@
 from lacewingpitch import organisation
 from lacewingpitch import routing
 
-# Share of the time in which a key that was taken away must be void, for
-# which a configuration that nobody confirms is trusted.  The rest is for a
-# store whose watches hear of changes late, and for clocks that drift.
-_TRUSTED_RATIO = 0.75
-# Share of that time within which a configuration is confirmed anew while the
-# store can be read: an instance that is cut off then serves on for a while.
+# Share of `keys_void_within_s` for which an unconfirmed configuration is
+# trusted.  The rest allows for late notifications of the store's watches and
+# for clock drift.
+_TRUST_RATIO = 0.75
+# Share of `keys_void_within_s` after which the configuration is confirmed
+# again while the store can be read.  It is below `_TRUST_RATIO`, so that an
+# instance that loses the store continues to serve for a while.
 _CONFIRM_RATIO = 0.4
-# Another instance that the caller is sent to is likely to be in touch.
-_RETRY_S = (0.2, 0.8)
+# Short, because the instance that gets the retry can probably read the store.
+_RETRY_AFTER_S = (0.2, 0.8)
 _MS_PER_S = 1000
 
 
 class Access:
-    """Finds out whose request it is, and refuses those of strangers.
+    """Finds the organisation of a request, and refuses unknown callers.
 
-    Failure it answers: a key is taken away while this process is cut off
-    from the store, frozen, or has just started from what another one knew.
-    A key counts only where the configuration was confirmed so short a time
-    before the request arrived that the key's end would have to be known.
+    A key may be revoked while this process cannot reach the store, is
+    suspended, or has just started from the state of a peer.  A key is
+    therefore accepted only if the configuration was confirmed so recently
+    before the request arrived that a revocation which must be in force by
+    then would be known.
 
     Parameters
     ----------
     age
-        How old the configuration in force may be.
+        Age of the last confirmation of the configuration in force.
     keys_void_within_s
-        Time in which a key that was taken away must be void everywhere;
-        0 where processes that are out of touch may take it for longer.
+        Time within which a revoked key must be void at every instance; 0
+        if instances without the store may accept it for longer.
     """
 
     def __init__(
@@ -46,28 +48,28 @@
     ) -> None:
         self._table = table
         self._age = age
-        self._void_within_s = keys_void_within_s
+        self._keys_void_within_s = keys_void_within_s
         self._random = source
 
     @property
     def confirm_within_s(self) -> float:
-        """Return how often the configuration is to be confirmed.
+        """Return the longest time between confirmations, in seconds.
 
-        0 where nobody needs it.
+        0 if the configuration need not be confirmed.
         """
-        return _CONFIRM_RATIO * self._void_within_s
+        return _CONFIRM_RATIO * self._keys_void_within_s
 
     @property
     def is_outdated(self) -> bool:
-        """Whether requests with a key are refused at present."""
-        return self._table.api_keys is not None and not self._is_trusted(
+        """Whether API keys cannot be checked at present."""
+        return self._table.api_keys is not None and not self._is_recent_enough(
             self._age.age_s
         )
 
     def age_ms(self, at_s: float) -> int | None:
-        """Return how old the configuration was at a moment, for logs.
+        """Return the age of the configuration at boot time `at_s`, for logs.
 
-        ``None`` where it has never been confirmed.
+        ``None`` if it has never been confirmed.
         """
         age_s = self._age.age_at_s(at_s)
         return None if math.isinf(age_s) else round(age_s * _MS_PER_S)
@@ -80,42 +82,42 @@
         Parameters
         ----------
         key
-            The caller's API key; empty if it sent none.
+            API key of the caller; empty if it sent none.
         arrived_at_s
-            Time of boot at which the request had arrived.
+            Boot time at which the request arrived.
 
         Raises
         ------
         RefusalError
             The route needs a key, and this one is unknown or may have been
-            taken away.
+            revoked.
         """
         keys = self._table.api_keys
         if keys is None:
             return None
-        if not self._is_trusted(self._age.age_at_s(arrived_at_s)):
+        if not self._is_recent_enough(self._age.age_at_s(arrived_at_s)):
             if route.is_public:
                 return None
-            raise self._outdated()
+            raise self._outdated_refusal()
         found = keys.holder(key) if key else None
         if found is not None or route.is_public:
             return found
         if self._table.is_away:
-            # A newer configuration may hold the key, and its caller would
-            # take "unknown" as final.
-            raise self._outdated()
+            # A newer configuration may contain the key, and its caller
+            # would not retry after an "unknown key" refusal.
+            raise self._outdated_refusal()
         raise errors.RefusalError(
-            errors.ErrorKind.UNAUTHENTICATED, 'no such API key'
+            errors.ErrorKind.UNAUTHENTICATED, 'unknown API key'
         )
 
-    def _is_trusted(self, age_s: float) -> bool:
-        return not self._void_within_s or (
-            age_s <= _TRUSTED_RATIO * self._void_within_s
+    def _is_recent_enough(self, age_s: float) -> bool:
+        return not self._keys_void_within_s or (
+            age_s <= _TRUST_RATIO * self._keys_void_within_s
         )
 
-    def _outdated(self) -> errors.RefusalError:
+    def _outdated_refusal(self) -> errors.RefusalError:
         return errors.RefusalError(
             errors.ErrorKind.CONFIGURATION_OUTDATED,
-            'the API key cannot be checked here at present',
-            retry_after_s=self._random.uniform(*_RETRY_S),
+            'this instance cannot check API keys at present',
+            retry_after_s=self._random.uniform(*_RETRY_AFTER_S),
         )
--- a/lacewingpitch/config_service.py
+++ b/lacewingpitch/config_service.py
@@ -1,4 +1,4 @@
-"""The platform's configuration service: read and watch, never write."""
+"""Read-only client of the platform's configuration service."""
 
 from typing import Protocol
 
@@ -13,7 +13,7 @@
 
 
 class Value(msgspec.Struct, frozen=True):
-    """One value with the revision at which it was last changed."""
+    """A value with the revision at which it was last changed."""
 
     name: str
     revision: int
@@ -21,47 +21,47 @@
 
 
 class ConfigService(Protocol):
-    """What the system needs of the configuration service."""
+    """Read access to the configuration service."""
 
     async def read(self, name: str) -> Value | None:
-        """Return a value, or ``None`` if there is none of that name."""
+        """Return a value, or ``None`` if the name does not exist."""
         ...
 
     async def watch(
         self, name: str, after_revision: int, timeout_s: float
     ) -> Value | None:
-        """Return a value once its revision is above `after_revision`."""
+        """Return a value as soon as its revision exceeds `after_revision`."""
         ...
 
 
 class HttpConfigService:
-    """Configuration service over HTTP, with long polls as watches."""
+    """Configuration service over HTTP; a watch is a long poll."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
         self._url = url
 
     async def read(self, name: str) -> Value | None:
-        """Return a value, or ``None`` if there is none of that name.
+        """Return a value, or ``None`` if the name does not exist.
 
         Raises
         ------
         PlatformError
-            The service is down or its answer cannot be used.
+            The service is unreachable or its response is unusable.
         """
         return await self._get(name, {}, _READ_TIMEOUT_S)
 
     async def watch(
         self, name: str, after_revision: int, timeout_s: float
     ) -> Value | None:
-        """Return a value once its revision is above `after_revision`.
+        """Return a value as soon as its revision exceeds `after_revision`.
 
-        Returns ``None`` when nothing changed within `timeout_s`.
+        Returns ``None`` when nothing has changed within `timeout_s`.
 
         Raises
         ------
         PlatformError
-            The service is down or its answer cannot be used.
+            The service is unreachable or its response is unusable.
         """
         query = {
             'after_revision': str(after_revision),
--- a/lacewingpitch/configuration_age.py
+++ b/lacewingpitch/configuration_age.py
@@ -1,4 +1,4 @@
-"""Up to when the configuration in force is known to be the newest."""
+"""Age of the last confirmation that the configuration is the newest."""
 
 import math
 
@@ -6,16 +6,16 @@
 
 
 class ConfigurationAge:
-    """Keeps the moment up to which no newer configuration was published.
+    """The time up to which no newer configuration was published.
 
-    What counts is when the store answered, or earlier.  An answer that a
-    frozen process or a slow link kept waiting proves nothing of the time
-    in which it waited.
+    Only the time at which the store answered, or an earlier one, confirms
+    the configuration.  An answer that was delayed by a suspended process
+    or a slow link says nothing about the time of the delay.
 
     Parameters
     ----------
     clock
-        Source of time; its time of boot counts suspension as well.
+        Source of time; its boot time includes suspension.
     """
 
     def __init__(self, clock: clock_module.Clock) -> None:
@@ -24,13 +24,16 @@
 
     @property
     def age_s(self) -> float:
-        """Return how old the newest proof is."""
+        """Return the seconds since the configuration was last confirmed."""
         return self.age_at_s(self._clock.boot_s())
 
     def confirm(self, at_s: float) -> None:
-        """Take note that the configuration was the newest at a moment."""
+        """Record that the configuration was the newest at boot time `at_s`.
+
+        An earlier time than the one recorded has no effect.
+        """
         self._confirmed_at_s = max(self._confirmed_at_s, at_s)
 
     def age_at_s(self, at_s: float) -> float:
-        """Return how old the newest proof was at a moment of boot time."""
+        """Return the age of the last confirmation at boot time `at_s`."""
         return at_s - self._confirmed_at_s
--- a/lacewingpitch/live_list.py
+++ b/lacewingpitch/live_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances; it lags."""
+"""Client of the instance list, which the platform publishes with a lag."""
 
 import enum
 from typing import Protocol
@@ -16,7 +16,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a process of the system does."""
+    """Role of a process in the system."""
 
     ENTRY = 'entry'
     SIDECAR = 'sidecar'
@@ -30,16 +30,16 @@
 
 
 class Instance(msgspec.Struct, frozen=True, kw_only=True):
-    """One instance, as the platform lists it.
+    """Entry of one instance in the published list.
 
     Parameters
     ----------
     serves
         Base model or plain service behind a sidecar; empty for an entry.
     started_at_s
-        When its process started, in seconds since the epoch.
+        Start time of its process, in seconds since the Unix epoch.
     deployment
-        Empty where the platform lists one deployment only.
+        Deployment it belongs to; empty where the platform lists only one.
     """
 
     name: str
@@ -55,12 +55,12 @@
     deployment: str = ''
 
     def is_same_process(self, other: 'Instance') -> bool:
-        """Whether `other` is the same process, whatever its state."""
+        """Whether `other` is the same process, regardless of its state."""
         return msgspec.structs.replace(other, state=self.state) == self
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """One published list; a higher revision is newer."""
+    """Published list of instances; a higher revision is newer."""
 
     revision: int
     instances: tuple[Instance, ...]
@@ -72,12 +72,12 @@
 
 
 def decode_list(data: bytes) -> InstanceList:
-    """Decode a published list, less the instances that are malformed.
+    """Decode a published list, without the instances that are malformed.
 
     Raises
     ------
     msgspec.DecodeError
-        It is no list at all.
+        The data is not a list of instances.
     """
     raw = msgspec.json.decode(data, type=_RawList)
     instances = []
@@ -85,26 +85,28 @@
         try:
             instances.append(msgspec.json.decode(item, type=Instance))
         except msgspec.DecodeError as error:
-            log.error('instance rejected', number=number, reason=str(error))
+            log.error(
+                'malformed instance rejected', number=number, reason=str(error)
+            )
     return InstanceList(raw.revision, tuple(instances))
 
 
 class LiveList(Protocol):
-    """What the system needs of the list of instances."""
+    """Source of the published list of instances."""
 
     async def watch(
         self, after_revision: int, timeout_s: float
     ) -> InstanceList | None:
-        """Return the list once it is newer than `after_revision`."""
+        """Return the list as soon as it is newer than `after_revision`."""
         ...
 
     async def read(self, unless_revision: int) -> InstanceList | None:
-        """Return the list, or ``None`` if it has a known revision."""
+        """Return the list, or ``None`` if it is still `unless_revision`."""
         ...
 
 
 class HttpLiveList:
-    """List of instances over HTTP, with long polls as watches."""
+    """Instance list over HTTP; a watch is a long poll."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
@@ -113,12 +115,14 @@
     async def watch(
         self, after_revision: int, timeout_s: float
     ) -> InstanceList | None:
-        """Return the list once it is newer than `after_revision`.
+        """Return the list as soon as it is newer than `after_revision`.
+
+        Returns ``None`` when nothing has changed within `timeout_s`.
 
         Raises
         ------
         PlatformError
-            The list is down or its answer cannot be used.
+            The platform is unreachable or its response is unusable.
         """
         query = {
             'after_revision': str(after_revision),
@@ -127,12 +131,12 @@
         return await self._get(timeout_s, query, {})
 
     async def read(self, unless_revision: int) -> InstanceList | None:
-        """Return the list, or ``None`` if it has a known revision.
+        """Return the list, or ``None`` if it is still `unless_revision`.
 
         Raises
         ------
         PlatformError
-            The list is down or its answer cannot be used.
+            The platform is unreachable or its response is unusable.
         """
         headers = {'If-None-Match': f'"{unless_revision}"'}
         return await self._get(0.0, {}, headers)
--- a/lacewingpitch/organisation.py
+++ b/lacewingpitch/organisation.py
@@ -1,4 +1,4 @@
-"""Organisations that call, and how much each of them may use."""
+"""Organisations that send requests, with their usage limits."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -7,18 +7,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageLimit:
-    """How much an organisation may use, over all entries together.
+    """Rate limit of an organisation, shared by all entries.
 
     Parameters
     ----------
     rate_per_s
-        Units that it may use in a second.
+        Units allowed per second.
     burst
-        Units that it may use at once after it has used none.
+        Units allowed at once after a period without use.
     counts_tokens
-        Whether the unit is a token; else it is a request.
+        Whether the unit is a token; otherwise it is a request.
     unstated_cost
-        Units of a request that does not say its tokens.
+        Units charged for a request that does not state its tokens.
     """
 
     rate_per_s: float
@@ -27,7 +27,7 @@
     unstated_cost: float = 1.0
 
     def cost(self, prompt_tokens: int, max_tokens: int) -> float:
-        """Return the units of a request."""
+        """Return the units to charge for a request."""
         if not self.counts_tokens:
             return 1.0
         return float(prompt_tokens + max_tokens) or self.unstated_cost
@@ -35,19 +35,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """An organisation that may call.
+    """An organisation whose callers may send requests.
 
     Parameters
     ----------
     api_keys
-        Secrets by which its callers are known.
+        Secrets that authenticate its callers.
     rank
-        Urgency of its requests, 0 is the most urgent; ``None`` for that
-        of their routes.
+        Urgency of its requests, 0 is the most urgent; ``None`` to use that
+        of the route.
     limit
-        How much it may use; ``None`` for no limit.
+        Its rate limit; ``None`` for no limit.
     weight
-        Its share where organisations compete; 1 is the mean.
+        Its relative share where organisations compete; the mean is 1.
     """
 
     name: str
@@ -62,19 +62,18 @@
 ) -> tuple[Organisation, ...]:
     """Return organisations with weights in proportion to their limits.
 
-    One without a limit weighs as much as the largest.
+    An organisation without a limit gets the largest weight.
     """
     found = tuple(organisations)
     rates_per_s = [o.limit.rate_per_s for o in found if o.limit is not None]
     if not rates_per_s:
         return found
     mean_per_s = statistics.fmean(rates_per_s)
-    most_per_s = max(rates_per_s)
+    max_per_s = max(rates_per_s)
     return tuple(
         dataclasses.replace(
             o,
-            weight=(o.limit.rate_per_s if o.limit else most_per_s)
-            / mean_per_s,
+            weight=(o.limit.rate_per_s if o.limit else max_per_s) / mean_per_s,
         )
         for o in found
     )
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who may call, while keys come and go and the store cannot be read."""
+"""Authentication while keys change and while the store is unreachable."""
 
 import dataclasses
 import random
@@ -44,21 +44,21 @@
             )
         )
 
-    def caller(self, key='key-1', route=ROUTE, arrived_at_s=None):
+    def authenticate(self, key='key-1', route=ROUTE, arrived_at_s=None):
         if arrived_at_s is None:
             arrived_at_s = self.clock.now_s
         return self.access.organisation(route, key, arrived_at_s)
 
     def refusal(self, **arguments):
         with pytest.raises(errors.RefusalError) as found:
-            self.caller(**arguments)
+            self.authenticate(**arguments)
         return found.value
 
 
 class TestKeys:
     @pytest.mark.proves(Promise.KEYS, Fault.NONE, Step.BEFORE_ADMISSION)
     def test_a_key_names_its_organisation(self):
-        assert Scene().caller() is BALCONY
+        assert Scene().authenticate() is BALCONY
 
     @pytest.mark.parametrize('key', ['', 'key-0', 'key-1 '])
     def test_any_other_key_is_refused(self, key):
@@ -66,23 +66,23 @@
         assert refusal.kind is errors.ErrorKind.UNAUTHENTICATED
         assert refusal.status == 401
 
-    def test_a_key_that_was_taken_away_is_refused(self):
+    def test_a_revoked_key_is_refused(self):
         scene = Scene()
         scene.publish(2, (dataclasses.replace(BALCONY, api_keys=()),))
         assert scene.refusal().status == 401
 
-    def test_a_key_that_was_given_back_counts_again(self):
+    def test_a_restored_key_is_accepted_again(self):
         scene = Scene()
         scene.publish(2, ())
         scene.publish(3, (BALCONY,))
-        assert scene.caller() is BALCONY
+        assert scene.authenticate() is BALCONY
 
-    def test_none_is_needed_where_there_are_no_organisations(self):
+    def test_no_key_is_needed_without_a_list_of_organisations(self):
         scene = Scene()
         scene.publish(2, None)
-        assert scene.caller(key='') is None
+        assert scene.authenticate(key='') is None
 
-    def test_all_are_refused_where_no_organisation_is_left(self):
+    def test_all_keys_are_refused_if_the_list_is_empty(self):
         scene = Scene()
         scene.publish(2, ())
         assert scene.refusal().status == 401
@@ -90,24 +90,24 @@
 
 class TestPublicRoute:
     def test_needs_no_key(self):
-        assert Scene().caller(key='', route=PUBLIC_ROUTE) is None
+        assert Scene().authenticate(key='', route=PUBLIC_ROUTE) is None
 
     def test_names_the_organisation_of_a_key(self):
-        assert Scene().caller(route=PUBLIC_ROUTE) is BALCONY
+        assert Scene().authenticate(route=PUBLIC_ROUTE) is BALCONY
 
-    def test_serves_on_while_keys_cannot_be_checked(self):
+    def test_is_served_while_keys_cannot_be_checked(self):
         scene = Scene()
         scene.clock.now_s += 60.0
-        assert scene.caller(route=PUBLIC_ROUTE) is None
+        assert scene.authenticate(route=PUBLIC_ROUTE) is None
 
 
 class TestOutdated:
     @pytest.mark.proves(Promise.KEYS, Fault.LINK_CUT, Step.BEFORE_ADMISSION)
-    def test_a_key_is_void_before_its_end_must_be_known(self):
-        """Guards against a key served by an instance that is cut off."""
+    def test_keys_are_refused_before_a_revocation_must_be_in_force(self):
+        """Guards against a revoked key at an instance without the store."""
         scene = Scene()
         scene.clock.now_s += 0.7 * VOID_WITHIN_S
-        assert scene.caller() is BALCONY
+        assert scene.authenticate() is BALCONY
         scene.clock.now_s = 100.0 + VOID_WITHIN_S - 1.0
         refusal = scene.refusal()
         assert refusal.kind is errors.ErrorKind.CONFIGURATION_OUTDATED
@@ -118,14 +118,22 @@
 
     @pytest.mark.proves(Promise.KEYS, Fault.FROZEN, Step.BEFORE_ADMISSION)
     def test_a_request_counts_from_its_arrival(self):
-        """Guards against refusing what waited while a process was frozen."""
+        """Guards against refusing requests that waited for a frozen process.
+
+        A request that arrived before the process was suspended is checked
+        with the age that the configuration had on arrival.
+        """
         scene = Scene()
         scene.clock.now_s += 60.0
-        assert scene.caller(arrived_at_s=101.0) is BALCONY
+        assert scene.authenticate(arrived_at_s=101.0) is BALCONY
 
     @pytest.mark.proves(Promise.KEYS, Fault.KILLED, Step.BEFORE_ADMISSION)
-    def test_a_configuration_of_a_peer_is_no_proof_of_its_own(self):
-        """Guards against a restarted process that trusts what it learns."""
+    def test_a_configuration_from_a_peer_is_not_a_confirmation(self):
+        """Guards against revoked keys accepted after a restart.
+
+        A restarted process gets its configuration from a peer, which may
+        not know the newest one.
+        """
         scene = Scene()
         scene.clock.now_s += 60.0
         scene.publish(2, (BALCONY,))
@@ -134,14 +142,14 @@
     @pytest.mark.proves(
         Promise.KEYS, Fault.CONFIG_STALE, Step.BEFORE_ADMISSION
     )
-    def test_an_older_proof_does_not_replace_a_newer_one(self):
+    def test_an_older_confirmation_does_not_replace_a_newer_one(self):
         scene = Scene()
         scene.clock.now_s += 60.0
         scene.age.confirm(160.0)
         scene.age.confirm(120.0)
-        assert scene.caller() is BALCONY
+        assert scene.authenticate() is BALCONY
 
-    def test_nothing_is_trusted_before_the_first_proof(self):
+    def test_keys_are_not_checked_before_the_first_confirmation(self):
         scene = Scene()
         scene.age = configuration_age.ConfigurationAge(scene.clock)
         found = access.Access(
@@ -150,14 +158,14 @@
         assert found.is_outdated
         assert found.age_ms(scene.clock.now_s) is None
 
-    def test_is_served_on_where_keys_may_live_longer(self):
+    def test_age_does_not_matter_without_a_revocation_time(self):
         scene = Scene(void_within_s=0.0)
         scene.clock.now_s += 60.0
-        assert scene.caller() is BALCONY
+        assert scene.authenticate() is BALCONY
         assert not scene.access.is_outdated
 
     @pytest.mark.proves(Promise.KEYS, Fault.CONFIG_DOWN, Step.BEFORE_ADMISSION)
-    def test_an_unknown_key_is_not_final_while_the_store_is_away(self):
+    def test_an_unknown_key_may_be_retried_while_the_store_is_down(self):
         """Guards against a final refusal of a key that was just added."""
         scene = Scene()
         scene.table.is_away = True
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -1,4 +1,4 @@
-"""Finding the organisation that holds an API key."""
+"""Lookup of organisations by API key."""
 
 import hypothesis
 from hypothesis import strategies
@@ -19,7 +19,7 @@
         assert self.keys.holder('key-3') is GARDEN
 
     @hypothesis.given(strategies.text())
-    def test_nobody_holds_another_key(self, key):
+    def test_an_unknown_key_has_no_holder(self, key):
         hypothesis.assume(key not in ('key-1', 'key-2', 'key-3'))
         assert self.keys.holder(key) is None
 
@@ -31,6 +31,6 @@
 
 
 class TestSecrecy:
-    def test_keys_are_in_no_text_of_their_organisation(self):
+    def test_keys_do_not_appear_in_texts_of_their_organisation(self):
         assert 'key-1' not in repr(BALCONY)
         assert 'key-1' not in str(BALCONY)
--- a/tests/test_organisation.py
+++ b/tests/test_organisation.py
@@ -1,4 +1,4 @@
-"""Organisations, their limits and their weights."""
+"""Organisations with their limits and weights."""
 
 import pytest
 
@@ -19,7 +19,7 @@
         )
         assert [o.weight for o in found] == [1.5, 0.5]
 
-    def test_one_without_a_limit_weighs_as_the_largest(self):
+    def test_one_without_a_limit_gets_the_largest_weight(self):
         found = organisation.weighted(
             (
                 organisation.Organisation('a', limit=Limit(300.0, 1.0)),
@@ -28,17 +28,17 @@
         )
         assert [o.weight for o in found] == [1.0, 1.0]
 
-    def test_all_are_alike_without_limits(self):
+    def test_all_weights_are_equal_without_limits(self):
         found = organisation.weighted((organisation.Organisation('a'),))
         assert found[0].weight == 1.0
 
 
-class TestPublished:
+class TestDecoding:
     def decode(self, **fields):
         content = msgspec.json.encode(standin.configuration(5, **fields))
         return wire.decode_configuration(content)
 
-    def test_is_decoded_once(self):
+    def test_decodes_all_fields(self):
         tenant = {
             'name': 'balcony',
             'apiKeys': ['k1', 'k2'],
@@ -59,18 +59,18 @@
         )
 
     @pytest.mark.parametrize('fields', [{}, {'ratePerS': 0, 'burst': 9}])
-    def test_no_rate_is_no_limit(self, fields):
+    def test_no_rate_means_no_limit(self, fields):
         tenant = {'name': 'balcony', **fields}
         (found,) = self.decode(tenants=[tenant]).organisations
         assert found.limit is None
         assert found.rank is None
 
-    def test_another_unit_counts_requests(self):
+    def test_any_other_unit_counts_requests(self):
         tenant = {'name': 'balcony', 'ratePerS': 5, 'burst': 5}
         (found,) = self.decode(tenants=[tenant]).organisations
         assert found.limit.cost(500, 80) == 1.0
 
-    def test_none_are_named_where_callers_need_no_key(self):
+    def test_absent_tenants_mean_that_no_key_is_needed(self):
         assert self.decode().organisations is None
         assert self.decode(tenants=[]).organisations == ()
 
