--- a/benchmarks/capacity_platform.py
+++ b/benchmarks/capacity_platform.py
@@ -18,7 +18,7 @@
 from lacewingpitch import grant
 from lacewingpitch import hint as hint_module
 from lacewingpitch import live_list
-from lacewingpitch import peer_state
+from lacewingpitch import peer_bootstrap
 from lacewingpitch import placement
 from lacewingpitch.platform import wire
 from lacewingpitch import settings
@@ -166,7 +166,7 @@
             dataclasses.replace(server, adapters={})
             for server in make_servers(count)
         )
-        reply = peer_state.StateReply(is_known=True, servers=servers)
+        reply = peer_bootstrap.StateReply(is_known=True, servers=servers)
         sizes.append(len(msgspec.msgpack.encode(reply)))
     return [slopes.Slope('list sent to an entry', 'B', ENGINES, sizes)]
 
--- a/benchmarks/store_return.py
+++ b/benchmarks/store_return.py
@@ -7,8 +7,8 @@
 from benchmarks import virtual_time
 from lacewingpitch import backend_list
 from lacewingpitch import errors
-from lacewingpitch.platform import published
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 
 PAGE_ITEMS = 500
 DOWN_S = 1.5
@@ -67,7 +67,7 @@
     store = CountedStore(item_count)
     source = random.Random(1)
     for _ in range(entry_count):
-        follower = store_module.Follower(
+        watcher = store_module.PrefixWatcher(
             Reader(store),
             '',
             1.1,
@@ -75,8 +75,10 @@
             clock,
             random.Random(source.random()),
         )
-        news = [published.BackendNews(backend_list.BackendList(clock))]
-        asyncio.create_task(published.follow(follower, news))
+        handlers = [
+            store_updates.BackendUpdates(backend_list.BackendList(clock))
+        ]
+        asyncio.create_task(store_updates.dispatch_changes(watcher, handlers))
     await asyncio.sleep(4.0 + source.random())
     store.is_down = True
     await asyncio.sleep(DOWN_S)
--- a/lacewingpitch/access.py
+++ b/lacewingpitch/authentication.py
@@ -21,7 +21,7 @@
 _MS_PER_S = 1000
 
 
-class Access:
+class Authenticator:
     """Finds the organisation of a request, and refuses unknown callers.
 
     A key may be revoked while this process cannot reach the store, is
@@ -74,7 +74,7 @@
         age_s = self._age.age_at_s(at_s)
         return None if math.isinf(age_s) else round(age_s * _MS_PER_S)
 
-    def organisation(
+    def authenticate(
         self, route: routing.Route, key: str, arrived_at_s: float
     ) -> organisation.Organisation | None:
         """Return the organisation of a request; ``None`` if it has none.
--- a/lacewingpitch/configuration_exchange.py
+++ b/lacewingpitch/configuration_exchange.py
@@ -74,7 +74,7 @@
         """Return the version in force; 0 if none is known."""
         return self._table.version
 
-    def note(self, ip: str, version: int) -> None:
+    def reconcile(self, ip: str, version: int) -> None:
         """Take note of the version that a sidecar has in force."""
         if version == self._table.version:
             self._offer_at_s.pop(ip, None)
@@ -86,11 +86,11 @@
         elif self._is_overdue(ip):
             self._begin(ip, self._offer(ip))
 
-    def note_store(self, is_away: bool) -> None:
+    def record_store_state(self, is_away: bool) -> None:
         """Take note whether the store could be read."""
         self._table.is_away = is_away
 
-    def take(self, content: bytes, source: str) -> int:
+    def apply(self, content: bytes, source: str) -> int:
         """Put published bytes in force if newer; return their version."""
         configuration = self._decode(content)
         before = self._table.version
@@ -120,7 +120,7 @@
         self, message: grant.ConfigurationOffer
     ) -> grant.ConfigurationTaken:
         """Take what an entry brings."""
-        self.take(message.content, source='entry')
+        self.apply(message.content, source='entry')
         return grant.ConfigurationTaken()
 
     def close(self) -> None:
@@ -145,7 +145,7 @@
         try:
             reply = await self._link.ask_configuration(ip, message, _TIMEOUT_S)
             if reply.content:
-                self.take(reply.content, source=ip)
+                self.apply(reply.content, source=ip)
         except (errors.LinkError, errors.PlatformError) as error:
             log.info('configuration not fetched', ip=ip, error=str(error))
 
--- a/lacewingpitch/control_peers.py
+++ b/lacewingpitch/control_client.py
@@ -3,12 +3,12 @@
 from lacewingpitch import errors
 from lacewingpitch import grant
 from lacewingpitch import link
-from lacewingpitch import peer_state
+from lacewingpitch import peer_bootstrap
 from lacewingpitch import settings
 from lacewingpitch import usage_lease
 
 
-class ControlPeers:
+class ControlClient:
     """The control links of an entry, one to each process it asks.
 
     Parameters
@@ -62,12 +62,12 @@
     async def ask_state(
         self,
         entry: settings.Address,
-        message: peer_state.StateRequest,
+        message: peer_bootstrap.StateRequest,
         timeout_s: float,
-    ) -> peer_state.StateReply:
+    ) -> peer_bootstrap.StateReply:
         """Ask another entry what is published."""
         return await self._peer(entry.ip, entry.port).ask(
-            message, peer_state.StateReply, timeout_s
+            message, peer_bootstrap.StateReply, timeout_s
         )
 
     def _sidecar(self, ip: str) -> link.Peer:
--- a/lacewingpitch/membership.py
+++ b/lacewingpitch/membership.py
@@ -136,7 +136,7 @@
             live_list.InstanceList(published.revision, tuple(accepted))
         )
 
-    def suspect(self, instance: str, for_s: float = _SUSPECT_S) -> None:
+    def mark_suspect(self, instance: str, for_s: float = _SUSPECT_S) -> None:
         """Exclude an instance from new work for `for_s` seconds.
 
         Used after a call to it has failed, or when it may be leaving.
@@ -144,7 +144,7 @@
         self._suspect_until_s[instance] = self._clock.monotonic_s() + for_s
         self._available_by_serves.clear()
 
-    def note_leaving(self, instance: str, revision: int = 0) -> None:
+    def mark_leaving(self, instance: str, revision: int = 0) -> None:
         """Exclude an instance that has reported that it is leaving.
 
         The report is newer than the list, which lags.  The mark lasts
@@ -163,7 +163,7 @@
         # mark that outlived the cancellation, on every instance in turn,
         # would leave no instance available until the first mark expired.
         if revision and self._is_live_in_newer_list(instance, revision):
-            self.suspect(instance, _LIST_LAG_S)
+            self.mark_suspect(instance, _LIST_LAG_S)
             return
         self._leaving_revisions[instance] = revision
         until_s = self._clock.monotonic_s() + LEAVING_MARK_S
--- a/lacewingpitch/node.py
+++ b/lacewingpitch/node.py
@@ -131,7 +131,7 @@
         self.run(self.contracts.run())
         while True:
             if self.contracts.must_watch:
-                await published.step()
+                await published.poll()
                 self.contracts.note_read(published.read_at_s)
             else:
                 await asyncio.sleep(_WATCH_CHECK_S)
--- a/lacewingpitch/organisation.py
+++ b/lacewingpitch/organisation.py
@@ -17,20 +17,20 @@
         Units allowed at once after a period without use.
     counts_tokens
         Whether the unit is a token; otherwise it is a request.
-    unstated_cost
+    default_cost
         Units charged for a request that does not state its tokens.
     """
 
     rate_per_s: float
     burst: float
     counts_tokens: bool = True
-    unstated_cost: float = 1.0
+    default_cost: float = 1.0
 
     def cost(self, prompt_tokens: int, max_tokens: int) -> float:
         """Return the units to charge for a request."""
         if not self.counts_tokens:
             return 1.0
-        return float(prompt_tokens + max_tokens) or self.unstated_cost
+        return float(prompt_tokens + max_tokens) or self.default_cost
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/lacewingpitch/peer_state.py
+++ b/lacewingpitch/peer_bootstrap.py
@@ -74,7 +74,7 @@
         ...
 
 
-class PeerState:
+class PeerBootstrap:
     """Brings up a process that starts while the store is away.
 
     Failure it answers: a process restarts, or is added, as the store is
@@ -177,7 +177,7 @@
         # question was sent.
         self._age.confirm(asked_at_s - reply.configuration_age_s)
         # A route that the peer does not know may be in force.
-        self._exchange.note_store(is_away=True)
+        self._exchange.record_store_state(is_away=True)
         self._servers.adopt(reply.servers, reply.list_age_s)
         log.info(
             'state taken over',
@@ -191,7 +191,7 @@
     ) -> bool:
         """Put in force what operators published; return whether it is."""
         try:
-            self._exchange.take(reply.configuration, source=peer.ip)
+            self._exchange.apply(reply.configuration, source=peer.ip)
         except errors.PlatformError as error:
             log.error('state rejected', peer=peer.ip, error=str(error))
             return False
--- a/lacewingpitch/platform/backend_client.py
+++ b/lacewingpitch/platform/backend_client.py
@@ -10,8 +10,8 @@
 import yarl
 
 from lacewingpitch import backend_call
-from lacewingpitch import kept_sessions
 from lacewingpitch.platform import names
+from lacewingpitch import session_pool
 
 # A connection that takes longer meets an instance that is down, or behind
 # a cut.
@@ -48,7 +48,7 @@
     def __init__(
         self,
         single_use: aiohttp.ClientSession,
-        kept: kept_sessions.KeptSessions,
+        kept: session_pool.SessionPool,
     ) -> None:
         self._single_use = single_use
         self._kept = kept
@@ -115,7 +115,7 @@
     """Return a client whose connections close with `exits`."""
     single_use = _new_session(aiohttp.TCPConnector(limit=0, force_close=True))
     exits.push_async_callback(single_use.close)
-    kept = kept_sessions.KeptSessions(_new_keeping_session)
+    kept = session_pool.SessionPool(_new_keeping_session)
     exits.push_async_callback(kept.close)
     return HttpBackendClient(single_use, kept)
 
--- a/lacewingpitch/platform/engine.py
+++ b/lacewingpitch/platform/engine_client.py
@@ -49,7 +49,7 @@
     born: int = 0
 
 
-class Engine:
+class EngineClient:
     """Calls to the engine on this instance.
 
     Parameters
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -6,28 +6,28 @@
 from aiohttp import web
 import structlog
 
-from lacewingpitch import access
+from lacewingpitch import authentication
 from lacewingpitch import backend_call
 from lacewingpitch import backend_list
 from lacewingpitch import carrier as carrier_module
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
-from lacewingpitch import control_peers
+from lacewingpitch import control_client
 from lacewingpitch import crash_record
 from lacewingpitch import draining
 from lacewingpitch import ejection
 from lacewingpitch import kept_copies
 from lacewingpitch import link
 from lacewingpitch import metrics_server
-from lacewingpitch import peer_state
+from lacewingpitch import peer_bootstrap
 from lacewingpitch import placement as placement_module
 from lacewingpitch.platform import backend_client
-from lacewingpitch.platform import front as front_module
+from lacewingpitch.platform import frontend as frontend_module
 from lacewingpitch.platform import listening
 from lacewingpitch.platform import process as process_module
-from lacewingpitch.platform import published
 from lacewingpitch.platform import settings as settings_module
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
 from lacewingpitch import retry_budget
 from lacewingpitch import service_choice
@@ -77,13 +77,13 @@
             'first_event_seconds',
             'Time from a request to the first event of its stream.',
         )
-        self._access = access.Access(
+        self._authenticator = authentication.Authenticator(
             self._process.table,
             self._process.age,
             file.settings.keys_void_within_s,
             self._process.random,
         )
-        self._peers = control_peers.ControlPeers(
+        self._peers = control_client.ControlClient(
             self._process.exits.enter_context(
                 contextlib.closing(
                     link.PeerPool(
@@ -116,7 +116,7 @@
             lambda: self._budgets.entry_count,
         )
         self._process.exits.push_async_callback(self._usage.close)
-        self.front = front_module.Front(
+        self.frontend = frontend_module.Frontend(
             self._process.table,
             self._serve,
             self._process.metrics.seconds(
@@ -124,7 +124,7 @@
             ),
             start_wait.StartWait(self._process.clock),
             self._process.clock,
-            self._access,
+            self._authenticator,
             self._usage,
         )
         self._carrier: carrier_module.Carrier | None = None
@@ -149,7 +149,7 @@
         )
         exits.callback(exchange.close)
         self._process.background.run('settings', self._file.follow)
-        self._process.background.run('silence', self.front.close_silent)
+        self._process.background.run('silence', self.frontend.close_silent)
         self._carrier = await self._new_carrier(exchange)
         store = await self._follow(exchange)
         self._add_metrics(self._carrier, store)
@@ -160,7 +160,7 @@
             )
         )
         await listening.listen(web.Server(self._ready), settings.ready, exits)
-        await self.front.listen(settings.callers, exits)
+        await self.frontend.listen(settings.callers, exits)
 
     async def _new_carrier(
         self, exchange: configuration_exchange.ConfigurationExchange
@@ -195,7 +195,7 @@
             placement,
             self.ejector,
             process.clock,
-            exchange.note,
+            exchange.reconcile,
             self._budgets.note_entries,
             self._suspects,
         )
@@ -219,7 +219,7 @@
     ) -> None:
         """Answer entries that start, and ask them as this one does."""
         settings = self._file.settings
-        state = peer_state.PeerState(
+        state = peer_bootstrap.PeerBootstrap(
             self._peers,
             [
                 settings_module.address_of(seed)
@@ -239,14 +239,14 @@
         control = link.ControlServer(
             settings_module.sealer(settings), _CONTROL_CONTEXTS
         )
-        control.handle(peer_state.StateRequest, state.answer)
+        control.handle(peer_bootstrap.StateRequest, state.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
         self._process.exits.push_async_callback(control.close)
 
     async def close(self) -> None:
         """Finish what is in progress, then release everything."""
         await draining.drain(
-            self.front, self._process.clock, self._file.settings.drain_s
+            self.frontend, self._process.clock, self._file.settings.drain_s
         )
         await self._process.exits.aclose()
 
@@ -260,7 +260,7 @@
             'requests_ended_total',
             'Requests that came to an end, by outcome.',
             'outcome',
-            lambda: self.front.ended_by_outcome,
+            lambda: self.frontend.ended_by_outcome,
         )
         metrics.counter_by(
             'requests_resent_total',
@@ -287,7 +287,7 @@
             'requests_by_organisation_total',
             'Requests that came to an end, by organisation.',
             'organisation',
-            lambda: self.front.ended_by_organisation,
+            lambda: self.frontend.ended_by_organisation,
         )
         record = self._suspects.record
         metrics.gauge(
@@ -303,7 +303,7 @@
         metrics.gauge(
             'requests_in_progress',
             'Requests that are in progress here.',
-            lambda: self.front.in_progress,
+            lambda: self.frontend.in_progress,
         )
         metrics.gauge(
             'configuration_version',
@@ -356,34 +356,34 @@
         store = store_module.Store(
             session, settings_module.url_of(self._file.settings.store)
         )
-        news = (
-            published.OperatorNews(
+        handlers = (
+            store_updates.OperatorUpdates(
                 self._process.versions, exchange, self._process.age
             ),
-            published.BackendNews(self.servers),
+            store_updates.BackendUpdates(self.servers),
         )
         settings = self._file.settings
-        follower = store_module.Follower(
+        watcher = store_module.PrefixWatcher(
             store,
-            published.common_prefix(news),
+            store_updates.common_prefix(handlers),
             pause_s=_PAUSE_RATIO * settings.news_within_s,
-            current_within_s=self._access.confirm_within_s,
+            current_within_s=self._authenticator.confirm_within_s,
             clock=self._process.clock,
             source=self._process.random,
         )
         self._process.background.run(
-            'store', lambda: published.follow(follower, news)
+            'store', lambda: store_updates.dispatch_changes(watcher, handlers)
         )
         return store
 
     async def _ready(self, _request: web.BaseRequest) -> web.Response:
-        if self.front.is_draining:
+        if self.frontend.is_draining:
             return web.Response(status=503, text='draining\n')
         if (
             self._process.table.configuration is None
             or not self.servers.is_known
         ):
             return web.Response(status=503, text='starting\n')
-        if self._access.is_outdated:
+        if self._authenticator.is_outdated:
             return web.Response(status=503, text='configuration outdated\n')
         return web.Response(text='ready\n')
--- a/lacewingpitch/platform/front.py
+++ b/lacewingpitch/platform/frontend.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 import structlog
 
-from lacewingpitch import access as access_module
+from lacewingpitch import authentication as authentication_module
 from lacewingpitch import backend_call
 from lacewingpitch import clock as clock_module
 from lacewingpitch import errors
@@ -48,7 +48,7 @@
 ]
 
 
-class Front:
+class Frontend:
     """Reads callers' requests and finds their routes.
 
     Parameters
@@ -59,7 +59,7 @@
         Takes note of how long requests took, by outcome.
     start_wait
         How long requests wait until a configuration is known.
-    access
+    authenticator
         Knows callers by their API keys.
     usage
         Keeps organisations within their limits.
@@ -72,11 +72,11 @@
         times: metrics_module.Seconds,
         start_wait: start_wait_module.StartWait,
         clock: clock_module.Clock,
-        access: access_module.Access,
+        authenticator: authentication_module.Authenticator,
         usage: usage_limits.UsageLimits,
     ) -> None:
         self._clock = clock
-        self._access = access
+        self._authenticator = authenticator
         self._usage = usage
         self._start_wait = start_wait
         self._table = table
@@ -223,7 +223,7 @@
         try:
             route = await self._route(request)
             route_name = route.name
-            caller = self._access.organisation(
+            caller = self._authenticator.authenticate(
                 route, caller_headers.api_key(request), arrived_at_s
             )
             found = await self._read(
@@ -261,7 +261,7 @@
                 status=delivery.response.status if delivery.response else 0,
                 took_ms=round(took_s * _MS_PER_S),
                 configuration_version=self._table.version,
-                configuration_age_ms=self._access.age_ms(arrived_at_s),
+                configuration_age_ms=self._authenticator.age_ms(arrived_at_s),
             )
 
     def _count(self, caller: organisation_module.Organisation | None) -> None:
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -10,11 +10,11 @@
 from lacewingpitch import grant
 from lacewingpitch import link
 from lacewingpitch import metrics_server
-from lacewingpitch.platform import engine as engine_module
+from lacewingpitch.platform import engine_client as engine_client_module
 from lacewingpitch.platform import process as process_module
-from lacewingpitch.platform import published
 from lacewingpitch.platform import settings as settings_module
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
 from lacewingpitch import usage_lease
 
@@ -49,7 +49,7 @@
         session = await self._process.exits.enter_async_context(
             aiohttp.ClientSession()
         )
-        engine = engine_module.Engine(
+        engine = engine_client_module.EngineClient(
             session,
             settings_module.url_of(settings.engine),
             settings.instance,
@@ -89,14 +89,14 @@
         store = store_module.Store(
             session, settings_module.url_of(settings.store)
         )
-        news = (
-            published.OperatorNews(
+        handlers = (
+            store_updates.OperatorUpdates(
                 self._process.versions, exchange, self._process.age
             ),
         )
-        follower = store_module.Follower(
+        watcher = store_module.PrefixWatcher(
             store,
-            published.common_prefix(news),
+            store_updates.common_prefix(handlers),
             pause_s=0.0,
             current_within_s=0.0,
             clock=self._process.clock,
@@ -106,8 +106,8 @@
         # that calls to the store do not grow with the number of engines.
         self._process.background.run(
             'store',
-            lambda: published.follow(
-                follower, news, lambda: self._process.table.version > 0
+            lambda: store_updates.dispatch_changes(
+                watcher, handlers, lambda: self._process.table.version > 0
             ),
         )
         self._process.background.run('settings', self._file.follow)
--- a/lacewingpitch/platform/store.py
+++ b/lacewingpitch/platform/store.py
@@ -199,7 +199,7 @@
         self.epoch = epoch
 
 
-class Follower:
+class PrefixWatcher:
     """Follows what is published under one prefix.
 
     Parameters
--- a/lacewingpitch/platform/published.py
+++ b/lacewingpitch/platform/store_updates.py
@@ -20,42 +20,42 @@
 log = structlog.get_logger(__name__)
 
 
-class News(Protocol):
+class UpdateHandler(Protocol):
     """Takes what is new under one prefix."""
 
     prefix: str
 
-    def take(self, change: store_module.Change) -> None:
+    def apply(self, change: store_module.Change) -> None:
         """Take over a change."""
         ...
 
 
-async def follow(
-    follower: store_module.Follower,
-    news: Sequence[News],
+async def dispatch_changes(
+    watcher: store_module.PrefixWatcher,
+    handlers: Sequence[UpdateHandler],
     is_enough: Callable[[], bool] = lambda: False,
 ) -> None:
     """Hand on what is published, by prefix, until it is enough."""
 
-    def take(change: store_module.Change) -> None:
-        for taker in news:
-            taker.take(change.under(taker.prefix))
+    def apply(change: store_module.Change) -> None:
+        for handler in handlers:
+            handler.apply(change.under(handler.prefix))
 
-    with follower.changes.subscribe(take):
-        await follower.run(is_enough)
+    with watcher.changes.subscribe(apply):
+        await watcher.run(is_enough)
 
 
-def common_prefix(news: Sequence[News]) -> str:
+def common_prefix(handlers: Sequence[UpdateHandler]) -> str:
     """Return the prefix under which all news come by one watch.
 
     The list of backend servers changes nearly all the time, so that a
     watch of its own for the operator's values would add a third to the
     calls.
     """
-    return os.path.commonprefix([taker.prefix for taker in news])
+    return os.path.commonprefix([handler.prefix for handler in handlers])
 
 
-class OperatorNews:
+class OperatorUpdates:
     """Puts the operator's configuration and adapter versions in force."""
 
     prefix = names.OPERATOR_PREFIX
@@ -75,9 +75,9 @@
         # holds less than is known, and proves nothing of what it lost.
         self._stored_version = 0
 
-    def take(self, change: store_module.Change) -> None:
+    def apply(self, change: store_module.Change) -> None:
         """Put a change in force."""
-        self._exchange.note_store(change.is_away)
+        self._exchange.record_store_state(change.is_away)
         if change.is_new_epoch:
             self._stored_version = 0
         for item in change.items:
@@ -103,7 +103,7 @@
         if item.is_deleted:
             return
         if item.key == names.CONFIGURATION_KEY:
-            self._stored_version = self._exchange.take(
+            self._stored_version = self._exchange.apply(
                 item.value, source='store'
             )
             self._is_unreadable = False
@@ -111,7 +111,7 @@
             self._versions.note(*wire.decode_adapter_version(item.value))
 
 
-class BackendNews:
+class BackendUpdates:
     """Follows the list of backend servers."""
 
     prefix = names.BACKEND_SERVER_PREFIX
@@ -122,7 +122,7 @@
         # every change of it.
         self._rejected: dict[str, str] = {}
 
-    def take(self, change: store_module.Change) -> None:
+    def apply(self, change: store_module.Change) -> None:
         """Take over a change of the list."""
         if change.is_away:
             self._servers.note_away(change.asked_at_s)
--- a/lacewingpitch/platform/wire.py
+++ b/lacewingpitch/platform/wire.py
@@ -282,7 +282,7 @@
         rate_per_s=found.rate_per_s,
         burst=found.burst,
         counts_tokens=counts_tokens,
-        unstated_cost=found.unstated_tokens if counts_tokens else 1.0,
+        default_cost=found.unstated_tokens if counts_tokens else 1.0,
     )
 
 
--- a/lacewingpitch/published_contracts.py
+++ b/lacewingpitch/published_contracts.py
@@ -82,10 +82,10 @@
         self._shard_revisions: dict[str, int] = {}
         self._retry_s = _FIRST_RETRY_S
         self.problems: dict[str, str] = {}
-        self.jump_back_count = 0
+        self.rollback_count = 0
         self.read_at_s: float | None = None
 
-    async def step(self) -> None:
+    async def poll(self) -> None:
         """Watch once and take over what changed; wait before a retry."""
         try:
             await self.watch_once(self._watch_s)
@@ -153,7 +153,7 @@
             return
         self.problems.pop(INDEX_NAME, None)
         if value.revision < self._index_revision:
-            self.jump_back_count += 1
+            self.rollback_count += 1
             log.error(
                 'configuration service fell back',
                 revision=value.revision,
--- a/lacewingpitch/kept_sessions.py
+++ b/lacewingpitch/session_pool.py
@@ -20,7 +20,7 @@
     in_use_count: int = 0
 
 
-class KeptSessions:
+class SessionPool:
     """One session for each backend server, as long as it is well.
 
     A server that hands out wrong bytes may have left some on any of its
--- a/lacewingpitch/sidecar_link.py
+++ b/lacewingpitch/sidecar_link.py
@@ -198,7 +198,7 @@
                 return await self._post_and_ask(attempt)
         except _NOT_SENT as error:
             self._ejector.failed(name)
-            self._membership.suspect(name)
+            self._membership.mark_suspect(name)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING, f'not reached: {name}'
             ) from error
@@ -302,7 +302,7 @@
         )
         leaving = response.headers.get(work.LEAVING_HEADER, '')
         if leaving:
-            self._membership.note_leaving(
+            self._membership.mark_leaving(
                 sidecar.name, int(leaving) if leaving.isdecimal() else 0
             )
         if work.KIND_HEADER in response.headers:
@@ -326,7 +326,7 @@
         kind = body.error.kind
         is_noted = work.LEAVING_HEADER in response.headers
         if kind is errors.ErrorKind.DRAINING and not is_noted:
-            self._membership.note_leaving(attempt.sidecar.name)
+            self._membership.mark_leaving(attempt.sidecar.name)
         if kind is errors.ErrorKind.CONTRACT_OUTDATED and self._on_outdated:
             await self._on_outdated(attempt.order.customer, attempt.sidecar)
         raise work.error_of(body.error)
@@ -436,7 +436,7 @@
         try:
             state = await self.ask_state(attempt)
         except errors.LinkError as error:
-            self._membership.suspect(name)
+            self._membership.mark_suspect(name)
             raise _unknown(
                 'the backend server does not say whether it ran'
             ) from error
--- a/tests/test_access.py
+++ b/tests/test_authentication.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lacewingpitch import access
+from lacewingpitch import authentication
 from lacewingpitch import configuration_age
 from lacewingpitch import errors
 from lacewingpitch import organisation
@@ -31,7 +31,7 @@
         self.clock = clocks.ManualClock(100.0)
         self.table = routing.RoutingTable(random.Random(1))
         self.age = configuration_age.ConfigurationAge(self.clock)
-        self.access = access.Access(
+        self.authenticator = authentication.Authenticator(
             self.table, self.age, void_within_s, random.Random(1)
         )
         self.publish(1, (BALCONY,))
@@ -47,7 +47,7 @@
     def authenticate(self, key='key-1', route=ROUTE, arrived_at_s=None):
         if arrived_at_s is None:
             arrived_at_s = self.clock.now_s
-        return self.access.organisation(route, key, arrived_at_s)
+        return self.authenticator.authenticate(route, key, arrived_at_s)
 
     def refusal(self, **arguments):
         with pytest.raises(errors.RefusalError) as found:
@@ -114,7 +114,7 @@
         assert refusal.status == 503
         assert refusal.outcome is errors.Outcome.NOT_RUN
         assert 0.0 < refusal.retry_after_s < 1.0
-        assert scene.access.is_outdated
+        assert scene.authenticator.is_outdated
 
     @pytest.mark.proves(Promise.KEYS, Fault.FROZEN, Step.BEFORE_ADMISSION)
     def test_a_request_counts_from_its_arrival(self):
@@ -152,7 +152,7 @@
     def test_keys_are_not_checked_before_the_first_confirmation(self):
         scene = Scene()
         scene.age = configuration_age.ConfigurationAge(scene.clock)
-        found = access.Access(
+        found = authentication.Authenticator(
             scene.table, scene.age, VOID_WITHIN_S, random.Random(1)
         )
         assert found.is_outdated
@@ -162,7 +162,7 @@
         scene = Scene(void_within_s=0.0)
         scene.clock.now_s += 60.0
         assert scene.authenticate() is BALCONY
-        assert not scene.access.is_outdated
+        assert not scene.authenticator.is_outdated
 
     @pytest.mark.proves(Promise.KEYS, Fault.CONFIG_DOWN, Step.BEFORE_ADMISSION)
     def test_an_unknown_key_may_be_retried_while_the_store_is_down(self):
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -42,9 +42,9 @@
             link, table, decode, virtual_time.LoopClock()
         )
         if own:
-            exchange.take(own, 'store')
+            exchange.apply(own, 'store')
         for _ in range(notes):
-            exchange.note('10.0.0.1', int(peer or 9))
+            exchange.reconcile('10.0.0.1', int(peer or 9))
             await asyncio.sleep(interval_s)
         return link, table
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -127,7 +127,7 @@
 class TestLeavingMark:
     def test_mark_overrides_the_list_until_it_expires(self, members, clock):
         publish(members, 1, make_instance('a'), make_instance('b'))
-        members.note_leaving('a')
+        members.mark_leaving('a')
         publish(members, 2, make_instance('a'), make_instance('b'))
         assert names(members) == ['b']
         clock.now_s += membership.LEAVING_MARK_S
@@ -135,8 +135,8 @@
 
     def test_new_process_under_the_name_is_available(self, members):
         publish(members, 1, make_instance('a'))
-        members.note_leaving('a')
-        members.suspect('a')
+        members.mark_leaving('a')
+        members.mark_suspect('a')
         publish(members, 2, make_instance('a', started_at_s=9.0))
         assert names(members) == ['a']
 
@@ -148,7 +148,7 @@
         receives only the second list.  Then another server leaves.
         """
         publish(members, 1, make_instance('a'), make_instance('b'))
-        members.note_leaving('a', 2)
+        members.mark_leaving('a', 2)
         assert names(members) == ['b']
         leaving = make_instance('b', state=LEAVING)
         publish(members, 3, make_instance('a'), leaving)
@@ -156,7 +156,7 @@
 
     def test_mark_by_an_older_list_expires_soon(self, members, clock):
         publish(members, 3, make_instance('a'), make_instance('b'))
-        members.note_leaving('a', 2)
+        members.mark_leaving('a', 2)
         assert names(members) == ['b']
         clock.now_s += 1.0
         assert names(members) == ['a', 'b']
@@ -164,7 +164,7 @@
     def test_mark_by_a_list_lasts_while_lists_show_leaving(self, members):
         leaving = make_instance('a', state=LEAVING)
         publish(members, 1, make_instance('a'), make_instance('b'))
-        members.note_leaving('a', 2)
+        members.mark_leaving('a', 2)
         publish(members, 2, leaving, make_instance('b'))
         publish(members, 3, leaving, make_instance('b'))
         assert names(members) == ['b']
@@ -176,21 +176,21 @@
         and then because of a signal.
         """
         publish(members, 1, make_instance('a'), make_instance('b'))
-        members.note_leaving('a', 2)
-        members.note_leaving('a')
+        members.mark_leaving('a', 2)
+        members.mark_leaving('a')
         publish(members, 3, make_instance('a'), make_instance('b'))
         assert names(members) == ['b']
 
     def test_suspect_is_excluded_until_its_mark_expires(self, members, clock):
         publish(members, 1, make_instance('a'))
-        members.suspect('a', for_s=2.0)
+        members.mark_suspect('a', for_s=2.0)
         assert names(members) == []
         clock.now_s += 2.0
         assert names(members) == ['a']
 
     def test_marks_of_instances_that_are_gone_are_dropped(self, members):
         publish(members, 1, make_instance('a'))
-        members.note_leaving('a')
+        members.mark_leaving('a')
         publish(members, 2, make_instance('b'))
         publish(members, 3, make_instance('a'), make_instance('b'))
         assert names(members) == ['a', 'b']
@@ -268,10 +268,10 @@
         suspect_until_s = leaving_until_s = 0.0
         for revision, step in enumerate(('list', *steps), 1):
             if step == 'suspect':
-                members.suspect('a', 5.0)
+                members.mark_suspect('a', 5.0)
                 suspect_until_s = clock.now_s + 5.0
             elif step == 'leaves':
-                members.note_leaving('a')
+                members.mark_leaving('a')
                 leaving_until_s = clock.now_s + membership.LEAVING_MARK_S
             elif step.startswith('wait'):
                 clock.now_s += 5.0 if step == 'wait' else 60.0
@@ -290,5 +290,5 @@
         publish(members, 1, make_instance('a'), make_instance('b'))
         cached = members.sidecars('base')
         assert members.sidecars('base') is cached
-        members.suspect('a', 1.0)
+        members.mark_suspect('a', 1.0)
         assert members.sidecars('base') is not cached
--- a/tests/test_organisation.py
+++ b/tests/test_organisation.py
@@ -54,7 +54,7 @@
             'balcony',
             ('k1', 'k2'),
             rank=3,
-            limit=Limit(123195.0, 4000.0, unstated_cost=200.0),
+            limit=Limit(123195.0, 4000.0, default_cost=200.0),
             weight=1.0,
         )
 
--- a/tests/test_peer_state.py
+++ b/tests/test_peer_bootstrap.py
@@ -9,7 +9,7 @@
 from lacewingpitch import configuration_age
 from lacewingpitch import configuration_exchange
 from lacewingpitch import errors
-from lacewingpitch import peer_state
+from lacewingpitch import peer_bootstrap
 from lacewingpitch import routing
 from lacewingpitch import settings
 
@@ -41,7 +41,7 @@
             None, self.table, decode, clock
         )
         self.age = configuration_age.ConfigurationAge(clock)
-        self.state = peer_state.PeerState(
+        self.state = peer_bootstrap.PeerBootstrap(
             link,
             peers,
             self.servers,
@@ -53,7 +53,7 @@
         )
 
     def read_store(self, content=b'5'):
-        self.exchange.take(content, 'store')
+        self.exchange.apply(content, 'store')
         self.servers.note_read()
         self.servers.replace_all([SERVER])
 
@@ -72,7 +72,7 @@
             await asyncio.sleep(timeout_s)
             raise errors.NoReplyError(endpoint)
         found = self.entries[endpoint]
-        if isinstance(found, peer_state.StateReply):
+        if isinstance(found, peer_bootstrap.StateReply):
             return found
         return await found.state.answer(message)
 
@@ -91,7 +91,7 @@
     virtual_time.run(main())
 
 
-class TestPeerState:
+class TestPeerBootstrap:
     def test_an_entry_serves_although_the_store_is_down(self):
         """Guards against a restart that serves nobody without the store."""
 
@@ -180,7 +180,7 @@
         async def story(scene):
             scene.other.read_store()
             scene.link.entries = {
-                A: peer_state.StateReply(
+                A: peer_bootstrap.StateReply(
                     is_known=True, configuration=b'x', servers=(SERVER,)
                 ),
                 B: scene.other,
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_frontend.py
@@ -12,13 +12,13 @@
 import structlog
 import uvloop
 
-from lacewingpitch import access
+from lacewingpitch import authentication
 from lacewingpitch import backend_call
 from lacewingpitch import clock
 from lacewingpitch import configuration_age
 from lacewingpitch import metrics
 from lacewingpitch import organisation
-from lacewingpitch.platform import front as front_module
+from lacewingpitch.platform import frontend as frontend_module
 from lacewingpitch import routing
 from lacewingpitch import start_wait
 from tests import usage_fakes
@@ -49,13 +49,15 @@
         self.age = configuration_age.ConfigurationAge(time_source)
         self.link = usage_fakes.Link(time_source)
         self.taken = []
-        self.front = front_module.Front(
+        self.frontend = frontend_module.Frontend(
             self.table,
             self._serve,
             metrics.Metrics('edge-1', 'zone-a').seconds('s', 'Times.'),
             start_wait.StartWait(time_source),
             time_source,
-            access.Access(self.table, self.age, 5.0, random.Random(1)),
+            authentication.Authenticator(
+                self.table, self.age, 5.0, random.Random(1)
+            ),
             usage_fakes.limits(self.link, time_source),
         )
 
@@ -64,8 +66,8 @@
         with socket.socket() as found:
             found.bind((IP, 0))
             self._endpoint = f'{IP}:{found.getsockname()[1]}'
-        await self.front.listen(self._endpoint, self._exits)
-        closing = asyncio.create_task(self.front.close_silent())
+        await self.frontend.listen(self._endpoint, self._exits)
+        closing = asyncio.create_task(self.frontend.close_silent())
         self._exits.callback(closing.cancel)
         self._session = await self._exits.enter_async_context(
             aiohttp.ClientSession()
@@ -170,19 +172,19 @@
                 async def serve(request, _delivery):
                     served.append(request.request_id)
 
-                scene.front._serve = serve
+                scene.frontend._serve = serve
                 host, port = scene._endpoint.split(':')
                 reader, writer = await asyncio.open_connection(host, port)
                 await asyncio.sleep(0.05)
-                (handler,) = scene.front._server.connections
+                (handler,) = scene.frontend._server.connections
                 handler.data_received(
                     b'GET /lookup/x HTTP/1.1\r\nHost: h.example\r\n'
                     b'Request-Id: one\r\nDeadline-Ms: 1000\r\n\r\n'
                 )
                 for _ in range(step_count):
                     await asyncio.sleep(0)
-                was_busy = bool(scene.front.in_progress or served)
-                scene.front.close_idle()
+                was_busy = bool(scene.frontend.in_progress or served)
+                scene.frontend.close_idle()
                 await reader.read()
                 writer.close()
                 return served if not was_busy else []
--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -8,11 +8,11 @@
 from benchmarks import virtual_time
 from lacewingpitch import backend_list
 from lacewingpitch import errors
-from lacewingpitch.platform import published
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 from tests import fault_matrix
 from tests import platform_standin as standin
-from tests.test_platform_published import item
+from tests.test_platform_store_updates import item
 
 Fault = fault_matrix.Fault
 Promise = fault_matrix.Promise
@@ -88,12 +88,12 @@
         self.clock = virtual_time.LoopClock()
         self.store = FlakyStore(self.clock)
         self.servers = backend_list.BackendList(self.clock)
-        self._follower = store_module.Follower(
+        self._watcher = store_module.PrefixWatcher(
             self.store, '', 1.1, 0.0, self.clock, random.Random(seed)
         )
         self.task = asyncio.create_task(
-            published.follow(
-                self._follower, [published.BackendNews(self.servers)]
+            store_updates.dispatch_changes(
+                self._watcher, [store_updates.BackendUpdates(self.servers)]
             )
         )
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -87,13 +87,13 @@
 
         changes = []
         async with serving(answer) as store:
-            follower = store_module.Follower(
+            watcher = store_module.PrefixWatcher(
                 store, '', 0.0, current_within_s, clock, random.Random(1)
             )
-            with follower.changes.subscribe(
+            with watcher.changes.subscribe(
                 lambda change: changes.append((clock.boot_s(), change))
             ):
-                await follower.run(lambda: len(changes) >= stop_after)
+                await watcher.run(lambda: len(changes) >= stop_after)
         return changes, waits_ms
 
     async def test_is_of_when_the_store_was_asked(self):
--- a/tests/test_platform_published.py
+++ b/tests/test_platform_store_updates.py
@@ -12,8 +12,8 @@
 from lacewingpitch import configuration_age
 from lacewingpitch import configuration_exchange
 from lacewingpitch import errors
-from lacewingpitch.platform import published
 from lacewingpitch.platform import store
+from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
 from lacewingpitch import routing
 from tests import clocks
@@ -41,33 +41,35 @@
 
 
 @pytest.fixture
-def news(servers):
-    return published.BackendNews(servers)
+def updates(servers):
+    return store_updates.BackendUpdates(servers)
 
 
 def names(servers):
     return [server.name for server in servers.serving(standin.SERVICE)]
 
 
-class TestBackendNews:
+class TestBackendUpdates:
     def test_a_server_that_ends_within_one_change_stays_gone(
-        self, news, servers
+        self, updates, servers
     ):
         """Guards against a server listed again by its own last entry."""
-        news.take(store.Change((entry(), entry('i-2')), is_whole=True))
-        news.take(store.Change((entry('i-2'), entry(state='draining'), end())))
+        updates.apply(store.Change((entry(), entry('i-2')), is_whole=True))
+        updates.apply(
+            store.Change((entry('i-2'), entry(state='draining'), end()))
+        )
         assert names(servers) == ['i-2']
         assert servers.get('i-1') is None
 
-    def test_one_that_comes_back_is_there(self, news, servers):
-        news.take(store.Change((end(), entry()), is_whole=False))
+    def test_one_that_comes_back_is_there(self, updates, servers):
+        updates.apply(store.Change((end(), entry()), is_whole=False))
         assert names(servers) == ['i-1']
 
     def test_an_entry_that_cannot_be_read_leaves_the_others(
-        self, news, servers
+        self, updates, servers
     ):
         bad = item('servers/i-9', {'service': 3})
-        news.take(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_whole=True))
         assert names(servers) == ['i-1']
 
     @pytest.mark.parametrize(
@@ -87,53 +89,53 @@
         ids=str,
     )
     def test_an_entry_of_another_writer_names_no_engine(
-        self, news, servers, change
+        self, updates, servers, change
     ):
         """Guards against requests sent to what is no engine."""
         found = standin.Engine('i-9').entry('10.0.0.9:8080') | change
         bad = item('servers/i-9', found)
-        news.take(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_whole=True))
         assert names(servers) == ['i-1']
-        news.take(store.Change((bad,)))
+        updates.apply(store.Change((bad,)))
         assert names(servers) == ['i-1']
 
     @pytest.mark.parametrize('field', ['service', 'address', 'zone', 'state'])
     def test_an_entry_without_a_field_names_no_engine(
-        self, news, servers, field
+        self, updates, servers, field
     ):
         found = standin.Engine('i-9').entry('10.0.0.9:8080')
         del found[field]
         bad = item('servers/i-9', found)
-        news.take(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_whole=True))
         assert names(servers) == ['i-1']
 
     @pytest.mark.parametrize('content', [b'', b'\xff\xfe\x00', b'[', b'null'])
     def test_bytes_that_cannot_be_read_leave_the_others(
-        self, news, servers, content
+        self, updates, servers, content
     ):
         bad = store.Item(key='servers/i-9', value=content, revision=8)
-        news.take(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_whole=True))
         assert names(servers) == ['i-1']
 
     def test_an_entry_that_is_overwritten_names_no_engine_any_more(
-        self, news, servers
+        self, updates, servers
     ):
         """Guards against an engine used after its entry was overwritten."""
         other = standin.Engine('i-2').entry('10.0.0.8:8080')
         other = item('servers/i-2', other)
-        news.take(store.Change((entry(), other), is_whole=True))
-        news.take(store.Change((item('servers/i-1', {'service': 3}),)))
+        updates.apply(store.Change((entry(), other), is_whole=True))
+        updates.apply(store.Change((item('servers/i-1', {'service': 3}),)))
         assert names(servers) == ['i-2']
-        news.take(store.Change((entry(),)))
+        updates.apply(store.Change((entry(),)))
         assert sorted(names(servers)) == ['i-1', 'i-2']
 
-    def test_a_service_that_nobody_named_takes_no_address(self, news):
+    def test_a_service_that_nobody_named_takes_no_address(self, updates):
         """Guards against another writer that hides an engine."""
         servers = backend_list.BackendList(
             clocks.ManualClock(), lambda name: name == standin.SERVICE
         )
         stranger = standin.Service('i-9').entry('10.0.0.7:8080')
-        published.BackendNews(servers).take(
+        store_updates.BackendUpdates(servers).apply(
             store.Change(
                 (
                     entry(),
@@ -144,32 +146,34 @@
         )
         assert names(servers) == ['i-1']
 
-    def test_a_rejected_entry_is_logged_once(self, news):
+    def test_a_rejected_entry_is_logged_once(self, updates):
         """Guards against a log filled by one bad entry."""
         with structlog.testing.capture_logs() as lines:
             for _ in range(5):
                 bad = item('servers/i-9', {'service': 3})
-                news.take(store.Change((bad,)))
+                updates.apply(store.Change((bad,)))
         assert [line['event'] for line in lines] == ['entry rejected']
 
-    def test_decodes_when_an_engine_started(self, news, servers):
+    def test_decodes_when_an_engine_started(self, updates, servers):
         found = standin.Engine('i-1').entry('10.0.0.7:8080')
         found['born'] = 1_800_000_000_123
-        news.take(store.Change((item('servers/i-1', found),), is_whole=True))
+        updates.apply(
+            store.Change((item('servers/i-1', found),), is_whole=True)
+        )
         assert servers.get('i-1').started_at_ms == 1_800_000_000_123
 
-    def test_decodes_what_an_engine_holds(self, news, servers):
+    def test_decodes_what_an_engine_holds(self, updates, servers):
         engine = standin.Engine('i-1')
         engine.adapters = {'a7': 3}
         found = item('servers/i-1', engine.entry('10.0.0.7:8080'))
-        news.take(store.Change((found,), is_whole=True))
+        updates.apply(store.Change((found,), is_whole=True))
         server = servers.get('i-1')
         assert server.adapters == {f'{standin.MODEL}/a7': 3}
         assert (server.ip, server.port) == ('10.0.0.7', 8080)
         assert server.max_running == 8
 
 
-class TestOperatorNews:
+class TestOperatorUpdates:
     def scene(self):
         table = routing.RoutingTable(random.Random(1))
         versions = adapter_versions.AdapterVersions()
@@ -177,40 +181,40 @@
             None, table, wire.decode_configuration, clocks.ManualClock()
         )
         self.age = configuration_age.ConfigurationAge(clocks.ManualClock(9.0))
-        news = published.OperatorNews(versions, exchange, self.age)
-        return news, table, versions
+        updates = store_updates.OperatorUpdates(versions, exchange, self.age)
+        return updates, table, versions
 
     def change(self, at_s, *items):
         return store.Change(items, current_at_s=at_s)
 
     def test_confirms_the_configuration_with_each_read(self):
-        news, _, _ = self.scene()
+        updates, _, _ = self.scene()
         config = standin.configuration(5)
-        news.take(self.change(4.0, item('op/config', config)))
+        updates.apply(self.change(4.0, item('op/config', config)))
         assert self.age.age_s == 5.0
-        news.take(self.change(7.0))
+        updates.apply(self.change(7.0))
         assert self.age.age_s == 2.0
 
     def test_a_store_that_is_away_confirms_nothing(self):
-        news, _, _ = self.scene()
-        news.take(self.change(4.0))
-        news.take(store.Change(is_away=True))
+        updates, _, _ = self.scene()
+        updates.apply(self.change(4.0))
+        updates.apply(store.Change(is_away=True))
         assert self.age.age_s == 5.0
 
     def test_one_that_cannot_be_read_is_not_confirmed(self):
         """Guards against keys that only an unreadable version takes away."""
-        news, _, _ = self.scene()
-        news.take(self.change(4.0, item('op/config', {'version': 'x'})))
-        news.take(self.change(7.0))
+        updates, _, _ = self.scene()
+        updates.apply(self.change(4.0, item('op/config', {'version': 'x'})))
+        updates.apply(self.change(7.0))
         assert self.age.age_s == math.inf
         config = standin.configuration(6)
-        news.take(self.change(8.0, item('op/config', config)))
+        updates.apply(self.change(8.0, item('op/config', config)))
         assert self.age.age_s == 1.0
 
     def test_puts_configuration_and_versions_in_force(self):
-        news, table, versions = self.scene()
+        updates, table, versions = self.scene()
         version = {'model': 'm', 'adapter': 'a', 'version': 4}
-        news.take(
+        updates.apply(
             store.Change(
                 (
                     item('op/config', standin.configuration(5)),
@@ -229,8 +233,8 @@
         assert limits.models == (standin.MODEL,)
 
     def test_one_value_that_cannot_be_read_leaves_the_others(self):
-        news, table, versions = self.scene()
-        news.take(
+        updates, table, versions = self.scene()
+        updates.apply(
             store.Change(
                 (
                     item('op/config', {'version': 'x'}),
@@ -242,10 +246,10 @@
         assert table.version == 0
 
     def test_the_store_that_is_away_is_told(self):
-        news, table, _ = self.scene()
-        news.take(store.Change(is_away=True))
+        updates, table, _ = self.scene()
+        updates.apply(store.Change(is_away=True))
         assert table.is_away
-        news.take(store.Change())
+        updates.apply(store.Change())
         assert not table.is_away
 
 
--- a/tests/test_published_contracts.py
+++ b/tests/test_published_contracts.py
@@ -84,7 +84,7 @@
         await reader.read_once()
         service.values, service.revision = old
         await reader.watch_once(0)
-        assert reader.jump_back_count == 1
+        assert reader.rollback_count == 1
         assert book.contract('ivy').revoked
         service.put_shards(a=[make_contract('ivy', 4)])
         await reader.watch_once(0)
--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -14,8 +14,8 @@
 from lacewingpitch import configuration_age
 from lacewingpitch import configuration_exchange
 from lacewingpitch import errors
-from lacewingpitch.platform import published
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
 from lacewingpitch import routing
 from tests import fault_matrix
@@ -42,14 +42,16 @@
         exchange = configuration_exchange.ConfigurationExchange(
             None, self.table, wire.decode_configuration, clock
         )
-        news = [
-            published.OperatorNews(self.versions, exchange, self.age),
-            published.BackendNews(self.servers),
+        handlers = [
+            store_updates.OperatorUpdates(self.versions, exchange, self.age),
+            store_updates.BackendUpdates(self.servers),
         ]
-        self.follower = store_module.Follower(
+        self.watcher = store_module.PrefixWatcher(
             reader, '', 0.02, 0.4, clock, random.Random(2)
         )
-        self.task = asyncio.create_task(published.follow(self.follower, news))
+        self.task = asyncio.create_task(
+            store_updates.dispatch_changes(self.watcher, handlers)
+        )
 
     async def list(self, name, port=None, **fields):
         port = port or int(name.partition('-')[2])
@@ -154,7 +156,7 @@
         await scene.unlist('i-1')
         await scene.until(lambda: scene.names() == {'i-2'})
         found = []
-        with scene.follower.changes.subscribe(
+        with scene.watcher.changes.subscribe(
             lambda _change: found.append(scene.names())
         ):
             await scene.store.go_back(copy)
--- a/tests/test_store_epoch_interleavings.py
+++ b/tests/test_store_epoch_interleavings.py
@@ -12,11 +12,11 @@
 from lacewingpitch import configuration_age
 from lacewingpitch import configuration_exchange
 from lacewingpitch import errors
-from lacewingpitch.platform import published
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 from lacewingpitch import routing
 from tests import platform_standin as standin
-from tests.test_platform_published import item
+from tests.test_platform_store_updates import item
 
 KNOWN_WITHIN_S = 4.0
 # Longer than the list may lag behind the store while that works.
@@ -78,8 +78,8 @@
         for _ in range(int(wait_s / 0.1)):
             if not self._store.oldest <= after <= self._store.revision:
                 raise store_module._HistoryGoneError('gone')
-            news = [c for at, c in self._store.changes if at > after]
-            if news:
+            events = [c for at, c in self._store.changes if at > after]
+            if events:
                 break
             await asyncio.sleep(0.1)
             await self._answer(epoch)
@@ -108,16 +108,18 @@
         exchange = configuration_exchange.ConfigurationExchange(
             None, self.table, decode, clock
         )
-        news = [
-            published.OperatorNews(
+        handlers = [
+            store_updates.OperatorUpdates(
                 adapter_versions.AdapterVersions(), exchange, self.age
             ),
-            published.BackendNews(self.servers),
+            store_updates.BackendUpdates(self.servers),
         ]
-        follower = store_module.Follower(
+        watcher = store_module.PrefixWatcher(
             Reader(self.store), '', 1.1, 0.0, clock, random.Random(seed)
         )
-        self.task = asyncio.create_task(published.follow(follower, news))
+        self.task = asyncio.create_task(
+            store_updates.dispatch_changes(watcher, handlers)
+        )
         self.copies = [self.store.copy()]
         self.next_name = 0
         self.version = 0
--- a/tests/test_usage_limits.py
+++ b/tests/test_usage_limits.py
@@ -17,7 +17,7 @@
 RATE_PER_S = 12_000.0
 BURST = 12_000.0
 COST = 1_200
-LIMIT = organisation.UsageLimit(RATE_PER_S, BURST, unstated_cost=200.0)
+LIMIT = organisation.UsageLimit(RATE_PER_S, BURST, default_cost=200.0)
 BALCONY = organisation.Organisation('balcony', ('key-1',), limit=LIMIT)
 WINDOW_S = 8.0
 # What the owner's silence may add, in bursts.
