--- a/lacewingpitch/node.py
+++ b/lacewingpitch/node.py
@@ -135,7 +135,7 @@
         self.run(self.contract_gossip.run())
         while True:
             if self.contract_gossip.must_watch:
-                await published.step()
+                await published.poll()
                 self.contract_gossip.record_read(published.read_at_s)
             else:
                 await asyncio.sleep(_WATCH_CHECK_S)
