--- a/lacewingpitch/limit_handover.py
+++ b/lacewingpitch/limit_handover.py
@@ -6,9 +6,9 @@
 import structlog
 
 from lacewingpitch import clock as clock_module
-from lacewingpitch import entry_ring
 from lacewingpitch import errors
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from lacewingpitch import live_list
 
 _SILENT_S = 3.0
@@ -38,7 +38,7 @@
     ----------
     clock
         Source of time.
-    ring
+    ownership
         The live entry instances.
     owner
         Leases what this instance owns.
@@ -49,12 +49,12 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        ring: entry_ring.EntryRing,
-        owner: limit_lease.LeaseOwner,
+        ownership: limit_ownership.LimitOwnership,
+        owner: limit_lease.LimitOwner,
         hand_over_link: HandOverLink,
     ) -> None:
         self._clock = clock
-        self._ring = ring
+        self._ownership = ownership
         self._owner = owner
         self._link = hand_over_link
         self._adopting = asyncio.Lock()
@@ -62,7 +62,7 @@
 
     async def grant(self, ask: limit_lease.LeaseAsk) -> limit_lease.LeaseReply:
         """Lease what is there."""
-        if self._owner.to_adopt(ask.wants):
+        if self._owner.pending_handovers(ask.wants):
             # One at a time: an owner hands over once, and a second ask
             # must not start from nothing while that reply is under way.
             async with self._adopting:
@@ -76,9 +76,11 @@
         return self._owner.hand_over(message)
 
     async def _adopt(self, ask: limit_lease.LeaseAsk) -> None:
-        for previous, customers in self._owner.to_adopt(ask.wants).items():
+        for previous, customers in self._owner.pending_handovers(
+            ask.wants
+        ).items():
             reply = await self._ask(previous, customers)
-            self._owner.adopt(customers, reply)
+            self._owner.apply_handover(customers, reply)
 
     async def _ask(
         self, previous: live_list.Instance, customers: list[str]
@@ -87,12 +89,12 @@
         now_s = self._clock.monotonic_s()
         if now_s < self._silent_until_s.get(previous.name, 0.0):
             return nothing
-        this = self._ring.this_instance()
+        this = self._ownership.this_instance()
         if this is None:
             return nothing
         message = limit_lease.HandOver(
             owner=this,
-            revision=self._ring.revision,
+            revision=self._ownership.revision,
             customers=tuple(customers),
         )
         try:
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -6,27 +6,27 @@
 from aiohttp import web
 import structlog
 
-from lacewingpitch import access
+from lacewingpitch import authentication
 from lacewingpitch import backend_call
 from lacewingpitch import backend_list
+from lacewingpitch import cached_copies
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
-from lacewingpitch import control_peers
+from lacewingpitch import control_client
 from lacewingpitch import crash_record
 from lacewingpitch import draining
 from lacewingpitch import ejection
-from lacewingpitch import kept_copies
 from lacewingpitch import link
 from lacewingpitch import metrics_server
-from lacewingpitch import peer_state
+from lacewingpitch import peer_bootstrap
 from lacewingpitch import placement as placement_module
 from lacewingpitch.platform import backend_client
-from lacewingpitch.platform import front as front_module
+from lacewingpitch.platform import frontend as frontend_module
 from lacewingpitch.platform import listening
 from lacewingpitch.platform import process as process_module
-from lacewingpitch.platform import published
 from lacewingpitch.platform import settings as settings_module
 from lacewingpitch.platform import store as store_module
+from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
 from lacewingpitch import request_forwarder
 from lacewingpitch import retry_budget
@@ -36,7 +36,7 @@
 from lacewingpitch import suspects as suspects_module
 from lacewingpitch import turn_source
 from lacewingpitch import usage_limits
-from lacewingpitch import usage_owners
+from lacewingpitch import usage_ownership
 
 # As many entries share the retry budget at least: more than there are at
 # the small sites, spare instances included.
@@ -77,13 +77,13 @@
             'first_event_seconds',
             'Time from a request to the first event of its stream.',
         )
-        self._access = access.Access(
+        self._authenticator = authentication.Authenticator(
             self._process.table,
             self._process.age,
             file.settings.keys_void_within_s,
             self._process.random,
         )
-        self._peers = control_peers.ControlPeers(
+        self._peers = control_client.ControlClient(
             self._process.exits.enter_context(
                 contextlib.closing(
                     link.PeerPool(
@@ -110,7 +110,7 @@
         self._usage = usage_limits.UsageLimits(
             file.settings.instance,
             self._peers,
-            usage_owners.UsageOwners(
+            usage_ownership.UsageOwnership(
                 self.servers, self._has_sidecar, self._process.clock
             ),
             self._process.clock,
@@ -118,7 +118,7 @@
             lambda: self._budgets.entry_count,
         )
         self._process.exits.push_async_callback(self._usage.close)
-        self.front = front_module.Front(
+        self.frontend = frontend_module.Frontend(
             self._process.table,
             self._serve,
             self._process.metrics.seconds(
@@ -126,7 +126,7 @@
             ),
             start_wait.StartWait(self._process.clock),
             self._process.clock,
-            self._access,
+            self._authenticator,
             self._usage,
         )
         self._forwarder: request_forwarder.RequestForwarder | None = None
@@ -151,7 +151,7 @@
         )
         exits.callback(exchange.close)
         self._process.background.run('settings', self._file.follow)
-        self._process.background.run('silence', self.front.close_silent)
+        self._process.background.run('silence', self.frontend.close_silent)
         self._forwarder = await self._new_forwarder(exchange)
         store = await self._follow(exchange)
         self._add_metrics(self._forwarder, store)
@@ -162,7 +162,7 @@
             )
         )
         await listening.listen(web.Server(self._ready), settings.ready, exits)
-        await self.front.listen(settings.callers, exits)
+        await self.frontend.listen(settings.callers, exits)
 
     async def _new_forwarder(
         self, exchange: configuration_exchange.ConfigurationExchange
@@ -172,9 +172,9 @@
         placement = placement_module.Placement(
             process.clock,
             product_settings.ObjectiveSettings(stall_weight=1),
-            squeeze_s=0.0,
-            load_age_s=_LOAD_AGE_S,
-            copies=kept_copies.KeptCopies(),
+            no_spare_slot_penalty_s=0.0,
+            load_max_age_s=_LOAD_AGE_S,
+            cached_copies=cached_copies.CachedCopies(),
             instance=settings.instance,
         )
         services = service_choice.ServiceChoice(
@@ -184,7 +184,7 @@
             process.random,
         )
         for forget in (
-            placement.forget,
+            placement.reset_instance,
             services.forget,
             self.ejector.forget,
         ):
@@ -197,7 +197,7 @@
             placement,
             self.ejector,
             process.clock,
-            exchange.note,
+            exchange.reconcile,
             self._budgets.record_entry_count,
             self._suspects,
         )
@@ -221,7 +221,7 @@
     ) -> None:
         """Answer entries that start, and ask them as this one does."""
         settings = self._file.settings
-        state = peer_state.PeerState(
+        state = peer_bootstrap.PeerBootstrap(
             self._peers,
             [
                 settings_module.address_of(seed)
@@ -241,14 +241,14 @@
         control = link.ControlServer(
             settings_module.sealer(settings), _CONTROL_CONTEXTS
         )
-        control.handle(peer_state.StateRequest, state.answer)
+        control.handle(peer_bootstrap.StateRequest, state.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
         self._process.exits.push_async_callback(control.close)
 
     async def close(self) -> None:
         """Finish what is in progress, then release everything."""
         await draining.drain(
-            self.front, self._process.clock, self._file.settings.drain_s
+            self.frontend, self._process.clock, self._file.settings.drain_s
         )
         await self._process.exits.aclose()
 
@@ -262,7 +262,7 @@
             'requests_ended_total',
             'Requests that came to an end, by outcome.',
             'outcome',
-            lambda: self.front.ended_by_outcome,
+            lambda: self.frontend.ended_by_outcome,
         )
         metrics.counter_by(
             'requests_resent_total',
@@ -289,7 +289,7 @@
             'requests_by_organisation_total',
             'Requests that came to an end, by organisation.',
             'organisation',
-            lambda: self.front.ended_by_organisation,
+            lambda: self.frontend.ended_by_organisation,
         )
         record = self._suspects.record
         metrics.gauge(
@@ -305,7 +305,7 @@
         metrics.gauge(
             'requests_in_progress',
             'Requests that are in progress here.',
-            lambda: self.front.in_progress,
+            lambda: self.frontend.in_progress,
         )
         metrics.gauge(
             'configuration_version',
@@ -358,34 +358,34 @@
         store = store_module.Store(
             session, settings_module.url_of(self._file.settings.store)
         )
-        news = (
-            published.OperatorNews(
+        handlers = (
+            store_updates.OperatorUpdates(
                 self._process.versions, exchange, self._process.age
             ),
-            published.BackendNews(self.servers),
+            store_updates.BackendUpdates(self.servers),
         )
         settings = self._file.settings
-        follower = store_module.Follower(
+        watcher = store_module.PrefixWatcher(
             store,
-            published.common_prefix(news),
+            store_updates.common_prefix(handlers),
             pause_s=_PAUSE_RATIO * settings.news_within_s,
-            current_within_s=self._access.confirm_within_s,
+            current_within_s=self._authenticator.confirm_within_s,
             clock=self._process.clock,
             source=self._process.random,
         )
         self._process.background.run(
-            'store', lambda: published.follow(follower, news)
+            'store', lambda: store_updates.dispatch_changes(watcher, handlers)
         )
         return store
 
     async def _ready(self, _request: web.BaseRequest) -> web.Response:
-        if self.front.is_draining:
+        if self.frontend.is_draining:
             return web.Response(status=503, text='draining\n')
         if (
             self._process.table.configuration is None
             or not self.servers.is_known
         ):
             return web.Response(status=503, text='starting\n')
-        if self._access.is_outdated:
+        if self._authenticator.is_outdated:
             return web.Response(status=503, text='configuration outdated\n')
         return web.Response(text='ready\n')
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -121,7 +121,7 @@
             self._node.membership.changes,
         )
         pacing = store_pacing.StorePacing(self._node, self.settings.store)
-        self._exits.callback(pacing.desk.close)
+        self._exits.callback(pacing.issuer.close)
         runner = runner_module.make_runner(
             self.settings,
             self._node,
@@ -214,7 +214,7 @@
     async def _admit_and_run(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
-        await self._node.contracts.settled()
+        await self._node.contract_gossip.wait_until_settled()
         return await self._attempts.run(order, delivery, self._check_open)
 
     def _check_open(self) -> None:
