--- a/tests/test_backend_list.py
+++ b/tests/test_backend_list.py
@@ -1,4 +1,4 @@
-"""Which backend servers get requests while the list comes and goes."""
+"""Which backend servers get requests, also after outages of the list."""
 
 import dataclasses
 
@@ -32,25 +32,25 @@
 
 
 class TestServing:
-    def test_leaves_out_who_is_leaving(self, servers):
+    def test_excludes_leaving_servers(self, servers):
         servers.put(server('a', is_leaving=True))
         assert names(servers) == {'b'}
 
     def test_is_the_same_object_while_nothing_changes(self, servers):
         assert servers.serving('chat') is servers.serving('chat')
 
-    def test_what_left_the_list_gets_nothing_more(self, servers):
+    def test_excludes_unlisted_servers(self, servers):
         servers.remove('a')
         assert names(servers) == {'b'}
 
-    def test_without_any_other_it_is_the_last_resort(self, servers, clock):
+    def test_unlisted_servers_are_the_last_resort(self, servers, clock):
         servers.remove('a')
         servers.remove('b')
         assert names(servers) == {'a', 'b'}
         clock.now_s += 1.6
         assert names(servers) == set()
 
-    def test_who_was_leaving_is_no_last_resort(self, servers):
+    def test_a_leaving_server_is_no_last_resort(self, servers):
         servers.put(server('a', is_leaving=True))
         servers.put(server('b', port=2, is_leaving=True))
         servers.remove('a')
@@ -58,7 +58,7 @@
 
 
 class TestRestart:
-    """A server starts again under the name that it had."""
+    """A server restarts under the same name."""
 
     @pytest.fixture
     def restarted(self, servers):
@@ -68,24 +68,28 @@
         found.clear()
         return found
 
-    def test_is_told(self, servers, restarted):
+    def test_is_announced(self, servers, restarted):
         servers.put(server('a', started_at_ms=1000))
         assert not restarted
         servers.put(server('a', started_at_ms=2000))
         assert restarted == ['a']
 
-    def test_what_it_wrote_before_is_not_taken_over(self, servers, restarted):
-        """Requests go where their adapter was before a restart.
+    def test_an_entry_of_the_earlier_start_is_ignored(
+        self, servers, restarted
+    ):
+        """Guards against requests to a server that lost their adapter.
 
-        An entry that an engine wrote before it restarted comes after the
-        first one of its new start.
+        An entry that an engine wrote before its restart arrives after the
+        first entry of its new start.
         """
         servers.put(server('a', started_at_ms=2000))
         servers.put(server('a', started_at_ms=1000, adapters={'m/x': 1}))
         assert servers.get('a').started_at_ms == 2000
         assert servers.get('a').adapters == {}
 
-    def test_a_sidecar_tells_it_sooner_than_the_list(self, servers, restarted):
+    def test_a_report_of_the_sidecar_precedes_the_list(
+        self, servers, restarted
+    ):
         assert servers.record_start('a', 2000)
         assert restarted == ['a']
         assert servers.get('a').adapters == {}
@@ -94,20 +98,20 @@
         assert servers.record_start('a', 0)
         assert restarted == ['a']
 
-    def test_one_that_lapsed_keeps_its_start(self, servers, restarted):
+    def test_an_unlisted_server_keeps_its_start(self, servers, restarted):
         servers.remove('a')
         servers.put(server('a', started_at_ms=900))
         assert servers.get('a') is None
 
 
 class TestOutage:
-    def test_entries_that_lapse_meanwhile_are_kept_until_relisted(
+    def test_servers_whose_entries_expired_are_kept_until_relisted(
         self, servers, clock
     ):
-        """All requests are refused although every server works.
+        """Guards against refusing all requests while every server works.
 
-        The store is down for longer than its entries live.  When it is
-        back it lists no server, until each has written its entry again.
+        The store is down for longer than the lifetime of its entries.  Then
+        it lists no server until each has written its entry again.
         """
         servers.record_read_failure()
         clock.now_s += 5.0
@@ -120,19 +124,17 @@
         clock.now_s += 2.0
         assert names(servers) == {'a'}
 
-    def test_a_server_that_leaves_meanwhile_gets_nothing(self, servers, clock):
+    def test_a_server_that_left_before_it_gets_nothing(self, servers, clock):
         servers.put(server('a', is_leaving=True))
         servers.record_read_failure()
         clock.now_s += 5.0
         assert names(servers) == {'b'}
 
-    def test_an_address_that_is_used_again_is_the_new_server(
-        self, servers, clock
-    ):
-        """A request reaches a server of another service.
+    def test_a_reused_address_belongs_to_the_new_server(self, servers, clock):
+        """Guards against requests that reach a server of another service.
 
-        A server is gone and its address belongs to a new one, while the
-        old entry is still kept after an outage.
+        A server is gone and a new one has its address, while the unlisted
+        server is still kept after an outage.
         """
         servers.record_read_failure()
         servers.record_read()
@@ -140,20 +142,20 @@
         assert names(servers) == {'b', 'new'}
 
     def test_of_two_incarnations_the_newer_gets_requests(self, servers):
-        """Requests wait for engines that are gone.
+        """Guards against requests that wait for engines that are gone.
 
-        All engines restart, and the entries of their last incarnations
-        stand beside the new ones until they lapse.
+        All engines restart, and the entries of their last incarnations are
+        listed beside the new ones until they expire.
         """
         servers.put(server('new', created_revision=9))
         servers.put(server('a', created_revision=5))
         assert names(servers) == {'b', 'new'}
 
-    def test_a_new_incarnation_that_leaves_brings_back_none(self, servers):
+    def test_a_leaving_incarnation_does_not_bring_back_the_last(self, servers):
         servers.put(server('new', created_revision=9, is_leaving=True))
         assert names(servers) == {'b'}
 
-    def test_find_knows_only_who_serves(self, servers):
+    def test_find_serving_excludes_leaving_servers(self, servers):
         assert servers.find_serving('chat', 'a').name == 'a'
         assert servers.find_serving('other', 'a') is None
         changed = dataclasses.replace(server('a'), is_leaving=True)
--- a/tests/test_crash_detector.py
+++ b/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Which cut answers count as crashes of their backend server."""
+"""Which broken connections count as crashes of their backend server."""
 
 import random
 
@@ -32,19 +32,19 @@
 
 
 class TestCrash:
-    def test_a_cut_alone_is_none(self, detector, record):
+    def test_a_disconnect_alone_is_none(self, detector, record):
         """Guards against refusing requests whose answers were lost."""
         detector.record_disconnect('f', server())
         assert detector.has_pending(server())
         assert record.crashed_servers('f') == ()
 
-    def test_a_server_that_works_had_none(self, detector, record):
+    def test_a_running_server_had_none(self, detector, record):
         detector.record_disconnect('f', server())
         detector.record_running(server())
         detector.record_exit(server())
         assert record.crashed_servers('f') == ()
 
-    def test_is_told_of_all_that_were_cut(self, detector, record):
+    def test_counts_for_all_requests_of_the_server(self, detector, record):
         detector.record_disconnect('f', server())
         detector.record_disconnect('g', server())
         detector.record_disconnect('h', server('i-2'))
@@ -56,20 +56,20 @@
         )
         assert record.crashed_servers('h') == ()
 
-    def test_a_cut_that_shows_after_it_counts(self, detector, record):
+    def test_a_disconnect_after_the_exit_counts(self, detector, record):
         detector.record_exit(server())
         detector.record_disconnect('f', server())
         assert record.crashed_servers('f') == ('i-1@0',)
 
     def test_two_starts_under_one_name_are_two(self, detector, record):
-        """Guards against counting a server's crashes as one."""
+        """Guards against counting a server's crashes only once."""
         for started_at_ms in (1, 2):
             found = server(started_at_ms=started_at_ms)
             detector.record_disconnect('f', found)
             detector.record_exit(found)
         assert len(record.crashed_servers('f')) == 2
 
-    def test_an_end_much_later_tells_nothing(self, detector, record, clock):
+    def test_an_exit_much_later_does_not_count(self, detector, record, clock):
         detector.record_disconnect('f', server())
         clock.now_s += 6.0
         detector.record_exit(server())
--- a/tests/test_crash_record.py
+++ b/tests/test_crash_record.py
@@ -1,4 +1,4 @@
-"""Which requests are isolated or refused, and how processes agree on it."""
+"""Isolation and refusal by crash count, and merging of crash records."""
 
 import itertools
 import random
@@ -37,36 +37,36 @@
 
 
 class TestHandling:
-    def test_one_crash_may_have_any_cause(self):
+    def test_one_crash_changes_nothing(self):
         assert crashed(new_record(), 'i-1') is FREE
 
-    def test_what_was_there_at_two_runs_isolated(self):
+    def test_two_crashes_isolate_a_request(self):
         assert crashed(new_record(), 'i-1', 'i-2') is ISOLATED
 
-    def test_the_third_refuses_it(self):
-        """Guards against a request that ends engine after engine."""
+    def test_three_crashes_refuse_a_request(self):
+        """Guards against a request that crashes engine after engine."""
         record = new_record()
         assert crashed(record, 'i-1', 'i-2', 'i-3') is REFUSED
         assert record.crashed_servers('f') == ('i-1', 'i-2', 'i-3')
         assert record.handling('g') is FREE
 
     def test_one_crash_counts_once(self):
-        """Guards against many attempts at one engine that count as many."""
+        """Guards against counting several attempts on one engine."""
         assert crashed(new_record(), 'i-1', 'i-1', 'i-1') is FREE
 
     def test_an_answer_makes_crashes_void(self):
-        """Guards against refusing what was there by chance."""
+        """Guards against refusing a request that was running by chance."""
         record = new_record()
         crashed(record, 'i-1', 'i-2')
         record.record_answer('f')
         assert record.handling('f') is FREE
         assert crashed(record, 'i-1', 'i-2', 'i-3') is FREE
 
-    def test_an_operator_lets_it_through(self):
+    def test_an_operator_may_release_a_request(self):
         record = new_record(released=('f',))
         assert crashed(record, 'i-1', 'i-2', 'i-3') is FREE
 
-    def test_counts_are_told(self):
+    def test_counts_requests_by_handling(self):
         record = new_record()
         crashed(record, 'i-1', 'i-2', 'i-3')
         crashed(record, 'i-1', 'i-2', fingerprint='g')
@@ -75,13 +75,13 @@
 
 
 class TestAge:
-    def test_what_nobody_sends_is_forgotten(self, clock):
+    def test_a_request_that_is_not_repeated_expires(self, clock):
         record = new_record(clock)
         crashed(record, 'i-1', 'i-2', 'i-3')
         clock.now_s += 1801.0
         assert record.handling('f') is FREE
 
-    def test_what_comes_again_is_not(self, clock):
+    def test_a_request_that_is_repeated_does_not(self, clock):
         """Guards against a request that crashes engines every half hour."""
         record = new_record(clock)
         crashed(record, 'i-1', 'i-2', 'i-3')
@@ -89,8 +89,8 @@
             clock.now_s += 1000.0
             assert record.handling('f') is REFUSED
 
-    def test_what_was_forgotten_counts_anew(self, clock):
-        """Guards against a forgotten request whose crashes count no more."""
+    def test_crashes_after_expiry_count_again(self, clock):
+        """Guards against ignoring new crashes of an expired request."""
         record = new_record(clock)
         crashed(record, 'i-1', 'i-2', 'i-3')
         clock.now_s += 1801.0
@@ -111,7 +111,7 @@
 
 
 class TestMerge:
-    def test_all_come_to_know_the_same(self):
+    def test_merging_makes_records_agree(self):
         one, other = new_record(seed=1), new_record(seed=2)
         crashed(one, 'i-1')
         crashed(other, 'i-2', 'i-3')
@@ -119,7 +119,7 @@
         other.merge(one.changes_since(0)[0])
         assert one.handling('f') is other.handling('f') is REFUSED
 
-    def test_an_answer_passes_on(self):
+    def test_an_answer_is_merged(self):
         one, other = new_record(seed=1), new_record(seed=2)
         crashed(one, 'i-1', 'i-2', 'i-3')
         other.merge(one.changes_since(0)[0])
@@ -127,7 +127,7 @@
         one.merge(other.changes_since(0)[0])
         assert one.handling('f') is FREE
 
-    def test_only_changes_are_told(self):
+    def test_only_changes_are_returned(self):
         record = new_record()
         assert record.revision == 0
         crashed(record, 'i-1')
@@ -137,15 +137,15 @@
         states, _ = record.changes_since(revision)
         assert [state.fingerprint for state in states] == ['g']
 
-    def test_a_restarted_process_is_told_all(self):
-        """Guards against a restart after which a request is let through."""
+    def test_all_is_returned_for_another_start(self):
+        """Guards against a restart after which a request is not refused."""
         before, after = new_record(seed=1), new_record(seed=2)
         crashed(before, 'i-1', 'i-2')
         crashed(after, 'i-1')
         states, _ = after.changes_since(before.revision)
         assert len(states) == 1
 
-    def test_what_does_not_fit_comes_with_the_next(self):
+    def test_changes_that_do_not_fit_are_in_the_next_message(self):
         record, other = new_record(seed=1), new_record(seed=2)
         for number in range(150):
             crashed(record, 'i-1', 'i-2', fingerprint=f'f-{number}')
@@ -181,8 +181,8 @@
 
 class TestInterleavings:
     @hypothesis.given(strategies.lists(STEPS, max_size=30))
-    def test_all_agree_once_all_have_told_all(self, steps):
-        """Guards against processes that judge a request differently."""
+    def test_records_agree_once_all_are_merged(self, steps):
+        """Guards against processes that handle a request differently."""
         records = [new_record(seed=seed) for seed in range(3)]
         for kind, index, fingerprint, detail in steps:
             if kind == 'crash':
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of failing backend servers and their careful return."""
+"""Ejection of failing backend servers and the trial that ends it."""
 
 import random
 
@@ -34,13 +34,13 @@
         fail(ejector, 'a', 1)
         assert ejector.allowed(NAMES) == ['b', 'c', 'd']
 
-    def test_leaves_half_of_them_when_all_fail(self, ejector):
+    def test_keeps_half_of_the_servers_when_all_fail(self, ejector):
         for name in NAMES:
             fail(ejector, name)
         assert ejector.allowed(NAMES) == ['c', 'd']
         assert ejector.allowed(['a']) == ['a']
 
-    def test_failures_from_before_do_not_lengthen_it(self, ejector, clock):
+    def test_failures_during_it_do_not_lengthen_it(self, ejector, clock):
         fail(ejector, 'a', 20)
         clock.now_s += 1.5
         assert 'a' in ejector.allowed(NAMES)
@@ -48,9 +48,10 @@
 
 class TestReturn:
     def test_one_request_tries_it(self, ejector, clock):
-        """A server that comes back is flooded, and falls over again.
+        """Guards against overloading a server that has just recovered.
 
-        Every request of the entry instance goes to it at once.
+        Without a trial, all requests of the entry instance would go to it
+        at once.
         """
         fail(ejector, 'a')
         clock.now_s += 1.5
@@ -70,21 +71,18 @@
         clock.now_s += 1.5
         assert 'a' in ejector.allowed(NAMES)
 
-    def test_trial_that_never_ends_is_given_up(self, ejector, clock):
+    def test_trial_that_never_ends_times_out(self, ejector, clock):
         fail(ejector, 'a')
         clock.now_s += 1.5
         ejector.record_start('a')
         clock.now_s += 11.0
         assert 'a' in ejector.allowed(NAMES)
 
-    def test_trial_without_a_verdict_is_followed_by_another(
-        self, ejector, clock
-    ):
-        """A server that is well again gets no requests for ten seconds.
+    def test_inconclusive_trial_is_followed_by_another(self, ejector, clock):
+        """Guards against a healthy server without requests for 10 s.
 
-        It was ejected, and its time is up.  The request that tries it is
-        refused for a reason of its own, or its caller leaves, so that the
-        trial neither fails nor succeeds.
+        The trial after an ejection is refused for a reason of its own, or
+        its caller disconnects, so that it neither fails nor succeeds.
         """
         fail(ejector, 'a')
         clock.now_s += 1.5
@@ -93,9 +91,7 @@
         ejector.record_end('a')
         assert 'a' in ejector.allowed(NAMES)
 
-    def test_the_end_of_a_trial_that_failed_lets_no_other_in(
-        self, ejector, clock
-    ):
+    def test_end_of_a_failed_trial_allows_no_other(self, ejector, clock):
         fail(ejector, 'a')
         clock.now_s += 1.5
         ejector.record_start('a')
@@ -105,7 +101,7 @@
 
 
 class TestFailureRatio:
-    def test_is_the_share_of_late_and_fades(self, ejector, clock):
+    def test_covers_recent_requests_and_decays(self, ejector, clock):
         assert ejector.failure_ratio('a') == 0.0
         for _ in range(20):
             ejector.record_failure('a')
@@ -116,11 +112,10 @@
 
 
 class TestForget:
-    def test_one_that_started_again_is_well(self, ejector):
-        """An engine that has just restarted gets no requests.
+    def test_a_restarted_server_is_no_longer_ejected(self, ejector):
+        """Guards against a restarted engine without requests.
 
-        It failed before it restarted, and the time of its ejection goes
-        on.
+        It failed before its restart, and its ejection has not ended.
         """
         fail(ejector, 'a')
         assert ejector.allowed(NAMES) == ['b', 'c', 'd']
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Which suspect requests one engine takes."""
+"""Isolation of suspect requests at engines and plain services."""
 
 import random
 
@@ -66,10 +66,10 @@
     def found(self, record):
         return isolation.Isolation(record)
 
-    def test_others_run_as_ever(self, found):
+    def test_other_requests_are_not_affected(self, found):
         assert found.refusal(request('g', False), [turn(100.0)], 100.0) is None
 
-    def test_a_suspect_runs_where_no_other_does(self, found, record):
+    def test_a_suspect_runs_if_no_other_suspect_does(self, found, record):
         crash(record, 2)
         assert found.refusal(request(), [], 100.0) is None
         others = [turn(99.9, fingerprint='g', is_isolated=False)]
@@ -79,23 +79,27 @@
     def test_two_suspects_never_begin_together(
         self, found, record, granted_at_s
     ):
-        """Guards against a suspect cut by the crash of another."""
+        """Guards against blaming a suspect for the crash of another."""
         crash(record, 2)
         refusal = found.refusal(request(), [turn(granted_at_s)], 100.0)
         assert refusal.kind is errors.ErrorKind.QUEUE_FULL
         assert refusal.outcome is errors.Outcome.NOT_RUN
         assert refusal.retry_after_s
 
-    def test_one_that_runs_well_keeps_no_other_out(self, found, record):
+    def test_a_suspect_after_its_probation_excludes_no_other(
+        self, found, record
+    ):
         crash(record, 2)
         assert found.refusal(request(), [turn(98.0)], 100.0) is None
 
-    def test_an_entry_that_does_not_know_of_it_is_told(self, found, record):
+    def test_a_suspect_that_its_entry_did_not_isolate_is_refused(
+        self, found, record
+    ):
         crash(record, 2)
         refusal = found.refusal(request(is_isolated=False), [], 100.0)
         assert refusal.kind is errors.ErrorKind.QUEUE_FULL
 
-    def test_what_crashed_three_engines_gets_a_final_answer(
+    def test_a_request_that_crashed_three_engines_is_refused_for_good(
         self, found, record
     ):
         crash(record, 3)
@@ -131,15 +135,15 @@
                 found.add(server.name)
         return found
 
-    def test_others_go_to_all_servers(self, turns):
+    def test_other_requests_go_to_all_servers(self, turns):
         assert len(self.chosen(turns)) > 1
 
-    def test_suspects_go_to_one(self, turns, record):
+    def test_suspects_go_to_one_server(self, turns, record):
         crash(record, 2)
         assert len(self.chosen(turns)) == 1
 
-    def test_suspects_go_one_by_one(self, turns, record):
-        """Guards against a suspect cut by the crash of another."""
+    def test_suspects_run_one_at_a_time(self, turns, record):
+        """Guards against blaming a suspect for the crash of another."""
         crash(record, 2)
         crash(record, 2, 'g')
         with turns.turn('f', ('lookup',), ()):
@@ -150,14 +154,16 @@
         with turns.turn('g', ('lookup',), ()):
             pass
 
-    def test_what_crashed_three_servers_is_refused(self, turns, record):
-        """Guards against a request that ends server after server."""
+    def test_a_request_that_crashed_three_servers_is_refused(
+        self, turns, record
+    ):
+        """Guards against a request that crashes server after server."""
         crash(record, 3)
         with pytest.raises(errors.RefusalError) as raised:
             self.chosen(turns)
         assert raised.value.kind is errors.ErrorKind.CRASHES_BACKEND_SERVERS
 
-    def test_without_any_server_it_says_so(self, turns):
+    def test_is_refused_without_any_server(self, turns):
         with pytest.raises(errors.RefusalError) as raised:
             with turns.turn('f', ('other',), ()):
                 pass
--- a/tests/test_platform_crashes.py
+++ b/tests/test_platform_crashes.py
@@ -1,4 +1,4 @@
-"""A request that ends each engine that runs it, against real processes."""
+"""A request that crashes each engine that runs it, with real processes."""
 
 import asyncio
 
@@ -8,18 +8,18 @@
 from tests import platform_processes
 from tests import platform_standin as standin
 
-DEADLY = b'deadly'
+CRASHING_BODY = b'deadly'
 DOWN_S = 0.5
 CONTACT_S = 3.0
 LENGTH_S = 12.0
 PAUSE_S = 0.25
-# Until entries and sidecars know of each other's crashes, the request may
-# be on its way to an engine more.
+# Until entries and sidecars have exchanged their crashes, the request may
+# reach further engines.
 MOST_CRASHES = 6
 
 
 class Scene:
-    """Two entries and two engines that come back under new names."""
+    """Two entries and two engines that restart under new names."""
 
     def __init__(self, platform):
         self.platform = platform
@@ -28,16 +28,16 @@
         self.served = []
         self._tasks = set()
         for engine in platform.engines:
-            engine.deadly_body = DEADLY
+            engine.deadly_body = CRASHING_BODY
             engine.on_crash = self._crashed
 
     def _crashed(self, engine):
         self.crashed_at_s.append(asyncio.get_running_loop().time())
-        task = asyncio.create_task(self._bring_back(engine))
+        task = asyncio.create_task(self._restart(engine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _bring_back(self, engine):
+    async def _restart(self, engine):
         store = self.platform.store
         address = self.platform.address_of(engine)
         before = engine.name
@@ -64,9 +64,9 @@
         except aiohttp.ClientError:
             return 0
 
-    async def send_deadly(self):
+    async def send_crashing(self):
         for number in range(int(LENGTH_S / PAUSE_S)):
-            status = await self.call(number, f'd-{number}', DEADLY)
+            status = await self.call(number, f'd-{number}', CRASHING_BODY)
             self.statuses.append(status)
             await asyncio.sleep(PAUSE_S)
 
@@ -84,13 +84,13 @@
         tmp_path, entry_count=2
     ) as platform:
         found = Scene(platform)
-        await asyncio.gather(found.send_deadly(), found.send_others())
+        await asyncio.gather(found.send_crashing(), found.send_others())
         yield found
 
 
-class TestDeadlyRequest:
+class TestCrashingRequest:
     async def test_a_request_that_crashes_engines_is_sent_to_few(self, scene):
-        """Guards against one request that ends engine after engine."""
+        """Guards against one request that crashes engine after engine."""
         crashed_at_s = scene.crashed_at_s
         bound_from_s = crashed_at_s[2] + CONTACT_S
         assert len([at for at in crashed_at_s if at > bound_from_s]) == 0
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -6,7 +6,7 @@
 
 
 class TestBudget:
-    def test_outage_grows_load_by_the_ratio_only(self):
+    def test_outage_increases_load_at_most_by_the_ratio(self):
         budget = retry_budget.RetryBudget(ratio=0.1, reserve=10.0)
         retries = 0
         for _ in range(10_000):
@@ -15,7 +15,7 @@
             retries += budget.try_withdraw()
         assert retries <= 10 + 0.1 * 10_000
 
-    def test_quiet_time_saves_up_a_reserve_only(self):
+    def test_quiet_time_saves_up_at_most_the_reserve(self):
         budget = retry_budget.RetryBudget(ratio=0.1, reserve=5.0)
         for _ in range(1000):
             budget.deposit()
@@ -36,10 +36,10 @@
 
 class TestServiceBudgets:
     def test_entries_together_stay_within_the_common_budget(self):
-        """Back ends that fail are flooded by retries of all entries.
+        """Guards against retries of all entries flooding failing servers.
 
-        Everything fails at once, after a quiet time that saved up
-        retries at each of ten entries.
+        Everything fails at once, after a quiet time in which each of ten
+        entries has saved up retries.
         """
         ratio, allowance, entries = 0.2, 52.0, 10
         retries = 0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -30,7 +30,7 @@
         table.apply(configuration(1, *routes))
         return table
 
-    def test_takes_the_longest_prefix_of_the_host(self):
+    def test_selects_the_longest_prefix_of_the_host(self):
         table = self.table(
             route('root', prefix='/'),
             route('x'),
@@ -60,21 +60,21 @@
             table.find('a.example', '/new/1')
         return found.value
 
-    def test_what_no_version_has_is_not_found(self):
+    def test_an_unknown_route_is_not_found(self):
         table = routing.RoutingTable(random.Random(1))
         table.apply(configuration(1, route()))
         assert self.refusal(table).kind is errors.ErrorKind.NOT_FOUND
 
-    def test_nothing_is_denied_while_nothing_is_known(self):
-        """Callers give up for good on routes that are there.
+    def test_nothing_is_not_found_before_the_first_version(self):
+        """Guards against callers that give up on routes that exist.
 
-        An instance starts and has not read the configuration yet.
+        A starting instance has not read the configuration yet.
         """
         refusal = self.refusal(routing.RoutingTable(random.Random(1)))
         assert refusal.status == 503
         assert refusal.retry_after_s < 0.5
 
-    def test_a_store_that_is_away_is_waited_for(self):
+    def test_nothing_is_not_found_while_the_store_is_unreachable(self):
         table = routing.RoutingTable(random.Random(1))
         table.apply(configuration(1, route()))
         table.is_store_unreachable = True
@@ -84,11 +84,11 @@
 
 
 class TestVersion:
-    def test_an_older_version_that_comes_late_is_not_put_in_force(self):
-        """A caller sees a route vanish that it has used already.
+    def test_an_older_version_that_arrives_late_is_ignored(self):
+        """Guards against removing a route that a caller has used.
 
-        A read of version 4 is on its way while version 6 arrives by
-        another process; then the read ends.
+        While a read of version 4 is in progress, version 6 arrives from
+        another process.
         """
         table = routing.RoutingTable(random.Random(1))
         assert table.apply(configuration(6, route('new')))
@@ -120,17 +120,17 @@
         assert route(kind=SAFE).is_idempotent
         assert not route(kind=routing.RequestKind.AT_MOST_ONCE).is_idempotent
 
-    def test_patience_of_callers(self):
+    def test_timeout_of_callers(self):
         assert route(kind=STREAM, target_gap_s=0.25).caller_timeout_s == 3.2
         assert route(kind=STREAM, target_gap_s=1.0).caller_timeout_s == 8.0
         assert route(kind=SAFE).caller_timeout_s == 10.0
 
 
 class TestEngineLimits:
-    """An engine crashes with all its runs.
+    """Guards against an engine that runs out of memory and crashes.
 
-    Its slots are not all taken, but the adapters that it is ordered to
-    hold do not fit its memory beside the model.
+    It has free adapter slots, but the adapters that it must hold do not fit
+    into its memory beside the model.
     """
 
     SIZES = {'m': routing.ModelSize(weights_mb=72_700, adapter_mb=66)}
@@ -140,16 +140,16 @@
             64, 30, ('m',), weights_mb=weights_mb, sizes=self.SIZES
         )
 
-    def test_slots_bind_where_memory_is_ample(self):
+    def test_slots_are_the_limit_with_enough_memory(self):
         assert self._limits(76_200).adapter_capacity(['m']) == 30
 
-    def test_memory_binds_where_it_is_less(self):
+    def test_memory_is_the_limit_with_less_memory(self):
         assert self._limits(73_700).adapter_capacity(['m']) == 15
         assert self._limits(72_700 + 15 * 66).adapter_capacity(['m']) == 15
 
-    def test_nothing_fits_beside_a_model_that_takes_all(self):
+    def test_nothing_fits_beside_a_model_that_needs_all_memory(self):
         assert self._limits(72_700).adapter_capacity(['m']) == 0
 
-    def test_without_sizes_slots_bind(self):
+    def test_slots_are_the_limit_without_sizes(self):
         limits = routing.EngineLimits(64, 30, ('m',))
         assert limits.adapter_capacity(['m']) == 30
--- a/tests/test_suspect_exchange.py
+++ b/tests/test_suspect_exchange.py
@@ -1,4 +1,4 @@
-"""How suspect requests become known on messages that go anyway."""
+"""Exchange of crash records on requests for turns and their replies."""
 
 import random
 
@@ -20,9 +20,9 @@
     def __init__(self, seed):
         self.record = new_record(seed)
 
-    def answer(self, news):
-        self.record.merge(news.states if news else ())
-        return suspect_exchange.update_for_requester(self.record, news)
+    def answer(self, update):
+        self.record.merge(update.states if update else ())
+        return suspect_exchange.update_for_requester(self.record, update)
 
 
 class Entry:
@@ -38,7 +38,7 @@
         reply = sidecar.answer(sent)
         self.exchange.apply_reply(ip, sent, reply)
         self.message_count += sum(
-            bool(news and news.states) for news in (sent, reply)
+            bool(update and update.states) for update in (sent, reply)
         )
 
 
@@ -63,20 +63,20 @@
 
 
 class TestExchange:
-    def test_without_crashes_messages_hold_nothing(self):
+    def test_without_crashes_messages_carry_nothing(self):
         network = Network(1, 1)
         assert network.entries[0].exchange.update_for('10.0.0.0') is None
         assert network.sidecars[0].answer(None) is None
 
-    def test_an_entry_learns_from_a_sidecar_that_another_told(self):
+    def test_a_crash_spreads_between_entries_by_a_sidecar(self):
         one, other = (network := Network(2, 1)).entries
         crash(one)
         network.ask_all(one)
         network.ask_all(other)
         assert other.record.handling('f') is REFUSED
 
-    def test_what_is_known_is_not_told_again(self):
-        """Guards against messages that grow and never fall silent."""
+    def test_known_crashes_are_not_sent_again(self):
+        """Guards against messages that keep carrying the same crashes."""
         network = Network(2, 1)
         crash(network.entries[0])
         for _ in range(10):
@@ -84,8 +84,8 @@
                 network.ask_all(entry)
         assert sum(e.message_count for e in network.entries) <= 4
 
-    def test_a_restarted_sidecar_is_told_all(self):
-        """Guards against a restart that forgets a deadly request."""
+    def test_a_restarted_sidecar_is_sent_everything(self):
+        """Guards against a restart that loses a crashing request."""
         network = Network(1, 1)
         crash(network.entries[0])
         network.ask_all(network.entries[0])
@@ -94,8 +94,8 @@
         network.ask_all(network.entries[0])
         assert network.sidecars[0].record.handling('f') is REFUSED
 
-    def test_a_restarted_entry_learns_all_with_its_first_turn(self):
-        """Guards against a restarted entry that sends a deadly request."""
+    def test_a_restarted_entry_is_sent_everything_with_its_first_turn(self):
+        """Guards against a restarted entry that sends a crashing request."""
         network = Network(1, 1)
         crash(network.entries[0])
         network.ask_all(network.entries[0])
@@ -103,7 +103,7 @@
         network.ask_all(entry)
         assert entry.record.handling('f') is REFUSED
 
-    def test_a_reply_that_is_lost_is_made_up_for(self):
+    def test_a_lost_reply_is_repeated(self):
         network = Network(2, 1)
         crash(network.entries[0])
         network.ask_all(network.entries[0])
@@ -114,11 +114,11 @@
 
     @pytest.mark.parametrize(('entries', 'sidecars'), [(4, 5), (380, 1000)])
     def test_all_entries_know_it_within_contact(self, entries, sidecars):
-        """Guards against news that is slower than the next attempts."""
+        """Guards against crashes that spread slower than retries."""
         network = Network(entries, sidecars)
         crash(network.entries[0])
-        # Each entry asks 13 times a second, at the target's size and at 5
-        # engines alike; it counts as in touch after 3 s.
+        # Each entry asks 13 times a second, both at the target size and with
+        # 5 engines; it counts as connected after 3 s.
         for _ in range(3 * 13):
             for entry in network.entries:
                 network.ask_once(entry)
