--- a/lacewingpitch/answer_delivery.py
+++ b/lacewingpitch/answer_delivery.py
@@ -1,4 +1,4 @@
-"""Brings the answer of one request from its sidecar to its caller."""
+"""Delivery of the answer to one request from its sidecar to its caller."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 
 _EVENT_STREAM = 'text/event-stream'
 _MAX_RESUMES = 3
-# What a broken or silent link to a sidecar raises while it is read.
-_BROKEN = (
+# Raised by reads from a sidecar whose connection is broken or unresponsive.
+_LINK_ERRORS = (
     aiohttp.ClientError,
     OSError,
     errors.LinkError,
@@ -38,20 +38,20 @@
 
 
 class AnswerDelivery:
-    """Delivers one answer whole, and says so where it cannot.
+    """Delivers one answer completely, or reports that it is incomplete.
 
     Parameters
     ----------
     request
         The caller's request.
     order
-        What was sent to the sidecar.
+        The order that was sent to the sidecar.
     reply
-        The sidecar's answer as it comes.
+        The sidecar's answer as it arrives.
     tally
-        Counts what the caller gets.
+        Counts what the caller receives.
     admitted
-        Is charged with the tokens of the answer.
+        Charged with the tokens of the answer.
     """
 
     def __init__(
@@ -70,36 +70,36 @@
         self._relay = event_stream.EventRelay()
 
     async def deliver(self) -> web.StreamResponse:
-        """Pass the answer on; its end is still to be written.
+        """Pass on the answer; the caller of this method writes its end.
 
         Raises
         ------
         RefusalError
-            It broke off before anything was sent.
+            The answer broke off before anything was sent.
         """
         self._tally.stalled(self._reply.headers.get(work.LOAD_STALL_HEADER))
         if self._order.adapter is None:
             return await self._pass_body()
         if self._reply.content_type == _EVENT_STREAM:
-            return await self._stream()
+            return await self._pass_stream()
         return await self._pass_whole()
 
-    async def _stream(self) -> web.StreamResponse:
+    async def _pass_stream(self) -> web.StreamResponse:
         response = web.StreamResponse(
             status=self._reply.status, headers=self._headers()
         )
         await response.prepare(self._request)
         relay = self._relay
         try:
-            await self._relay_in_task(response)
+            await self._relay_events_in_task(response)
             for _ in range(_MAX_RESUMES):
                 if relay.is_complete or relay.is_failed:
                     break
                 relay.drop_partial_event()
                 await self._reply.resume(relay.event_count)
-                await self._relay_in_task(response)
+                await self._relay_events_in_task(response)
         except errors.RefusalError as error:
-            self._warn('not resumed', error)
+            self._warn('stream not resumed', error)
         if not relay.is_complete and not relay.is_failed:
             cut = errors.RefusalError(
                 errors.ErrorKind.ANSWER_CUT, 'the answer broke off'
@@ -109,43 +109,47 @@
             self._tally.cut()
         return response
 
-    async def _relay_in_task(self, response: web.StreamResponse) -> None:
-        # Each token wakes a task up, and that passes through every await
-        # of its call chain.  In a task of its own the chain is short.
-        # A cancelled request cancels it, since it is awaited directly.
+    async def _relay_events_in_task(
+        self, response: web.StreamResponse
+    ) -> None:
+        # Each token resumes a task, which costs time for every await of its
+        # call chain.  The chain of a separate task is short.  Cancelling the
+        # request cancels the task, since it is awaited directly.
         await asyncio.create_task(self._relay_events(response))
 
     async def _relay_events(self, response: web.StreamResponse) -> None:
         relay = self._relay
         while True:
-            told = relay.event_count
+            event_count = relay.event_count
             try:
                 chunk = await self._reply.read()
                 events = relay.feed(chunk)
-            except _BROKEN as error:
-                self._warn('stream cut', error)
+            except _LINK_ERRORS as error:
+                self._warn('stream interrupted', error)
                 return
             if not chunk:
                 return
             if not events:
                 continue
-            # An event is about one token.
+            # An event holds about one token.
             self._admitted.used_tokens = float(relay.event_count)
             await response.write(events)
-            self._tally.wrote(relay.event_count - told - relay.is_complete)
+            self._tally.wrote(
+                relay.event_count - event_count - relay.is_complete
+            )
 
     async def _pass_whole(self) -> web.Response:
-        # The answer is sent only once it is whole here: the caller gets
-        # all of it or an error with a status, never a torn body.  The
-        # sidecar keeps it for a while, and is asked again when the link
+        # The answer is sent only once it is complete here, so that the caller
+        # gets all of it or an error status, but never a partial body.  The
+        # sidecar keeps it for a while and is asked again if the connection
         # breaks.
         for number in range(_MAX_RESUMES + 1):
             if number:
                 await self._reply.resume(0)
             try:
                 body = b''.join([c async for c in self._reply.chunks()])
-            except _BROKEN as error:
-                self._warn('answer cut', error)
+            except _LINK_ERRORS as error:
+                self._warn('answer interrupted', error)
                 continue
             if self._order.adapter is not None:
                 self._count_tokens(body)
@@ -157,8 +161,8 @@
         )
 
     async def _pass_body(self) -> web.StreamResponse:
-        # The body of a plain service has no end mark of its own.  The
-        # sidecar had a small one whole before it sent its length, and
+        # The body of a plain service has no end mark.  A small body was
+        # complete at the sidecar before it sent the length, and the sidecar
         # keeps it.
         length = self._reply.headers.get('Content-Length')
         if (
@@ -175,23 +179,23 @@
         while True:
             try:
                 chunk = await self._reply.read()
-            except _BROKEN as error:
-                self._warn('body cut', error)
-                self._tear()
+            except _LINK_ERRORS as error:
+                self._warn('body interrupted', error)
+                self._abort()
                 return response
             if not chunk:
                 return response
             await response.write(chunk)
 
-    def _tear(self) -> None:
-        # Only a connection that is torn down tells the caller that the
-        # body is not whole.
+    def _abort(self) -> None:
+        # Only an aborted connection shows the caller that the body is
+        # incomplete.
         self._tally.cut()
         if self._request.transport is not None:
             self._request.transport.abort()
 
     def _count_tokens(self, body: bytes) -> None:
-        # An answer without a usable count stays charged as estimated.
+        # Without a usable count, the estimated tokens stay charged.
         with contextlib.suppress(msgspec.DecodeError, RecursionError):
             found = msgspec.json.decode(body, type=_WholeAnswer)
             if found.usage is not None:
--- a/lacewingpitch/answer_reading.py
+++ b/lacewingpitch/answer_reading.py
@@ -1,4 +1,4 @@
-"""Reads the answer of a backend server, and no longer than it may take."""
+"""Reading of backend servers' answers, with timeouts and size limits."""
 
 from collections.abc import AsyncIterator, Iterator
 import contextlib
@@ -7,55 +7,58 @@
 from lacewingpitch import event_splitter
 from lacewingpitch import idle_timeout
 
-# An idempotent request is taken elsewhere when its answer stays away for
-# this many times its target, so that a slow answer is seldom run twice.
-_SILENT_TARGETS = 4.0
-_LEAST_SILENCE_S = 0.4
-# The first event of a stream waits for its prompt to be read among those
-# of others; callers give up after four times the target.
-_FIRST_EVENT_TARGETS = 2.0
-# Longer pauses than this are late anyway, and a caller gives up after
-# eight times the longest pause that is on time.
-_SILENT_GAPS = 4.0
-_LEAST_GAP_SILENCE_S = 1.0
-# What may not run twice is waited for as long as the request may last.
+# An idempotent request is retried if its answer takes longer than this
+# multiple of its target latency, so that few slow requests run twice.
+_ANSWER_TIMEOUT_RATIO = 4.0
+_MIN_ANSWER_TIMEOUT_S = 0.4
+# As a multiple of the target latency.  The first event of a stream waits for
+# the prefill of its prompt among others; callers give up after four times
+# the target.
+_FIRST_EVENT_TIMEOUT_RATIO = 2.0
+# As a multiple of the target gap.  Longer pauses are late anyway, and callers
+# give up after eight times the target gap.
+_GAP_TIMEOUT_RATIO = 4.0
+_MIN_GAP_TIMEOUT_S = 1.0
+# A request that must not run twice is waited for until its deadline.
 _UNLIMITED_S = 3600.0
 _MAX_ANSWER_BYTES = 8 << 20
 
 
-def first_silence_s(request: backend_call.CallerRequest) -> float:
-    """Return how long the beginning of an answer may stay away."""
+def first_byte_timeout_s(request: backend_call.CallerRequest) -> float:
+    """Return the timeout until the beginning of an answer, in seconds."""
     route = request.route
     if not route.is_idempotent:
         return _UNLIMITED_S
     if route.is_stream:
-        return _FIRST_EVENT_TARGETS * route.target_latency_s
-    return max(_SILENT_TARGETS * route.target_latency_s, _LEAST_SILENCE_S)
+        return _FIRST_EVENT_TIMEOUT_RATIO * route.target_latency_s
+    return max(
+        _ANSWER_TIMEOUT_RATIO * route.target_latency_s, _MIN_ANSWER_TIMEOUT_S
+    )
 
 
-def _gap_silence_s(request: backend_call.CallerRequest) -> float:
-    """Return how long a stream may pause."""
+def _gap_timeout_s(request: backend_call.CallerRequest) -> float:
+    """Return the timeout between two events of a stream, in seconds."""
     route = request.route
     if not route.is_idempotent:
         return _UNLIMITED_S
-    return max(_SILENT_GAPS * route.target_gap_s, _LEAST_GAP_SILENCE_S)
+    return max(_GAP_TIMEOUT_RATIO * route.target_gap_s, _MIN_GAP_TIMEOUT_S)
 
 
 @contextlib.contextmanager
-def limit_silence(silence: idle_timeout.IdleTimeout) -> Iterator[None]:
-    """Take a silence that lasts too long for the loss of the answer.
+def raise_on_timeout(timeout: idle_timeout.IdleTimeout) -> Iterator[None]:
+    """Treat a timeout of a wait as the loss of the answer.
 
     Raises
     ------
     AnswerLostError
-        The backend server is silent.
+        The backend server does not answer in time.
     """
     try:
-        with silence:
+        with timeout:
             yield
     except TimeoutError as error:
         raise backend_call.AnswerLostError(
-            'the backend server is silent', is_silence=True
+            'the backend server does not answer in time', is_timeout=True
         ) from error
 
 
@@ -65,7 +68,7 @@
     Raises
     ------
     AnswerLostError
-        It broke off, or is too large.
+        The body broke off or is too large.
     """
     body = bytearray()
     async for chunk in answer.chunks:
@@ -75,12 +78,12 @@
     return bytes(body)
 
 
-async def whole_events(
+async def read_events(
     request: backend_call.CallerRequest,
     answer: backend_call.BackendAnswer,
     splitter: event_splitter.EventSplitter,
 ) -> AsyncIterator[bytes]:
-    """Yield the events of a stream, whole and in their order.
+    """Yield complete events of a stream, in their order.
 
     Raises
     ------
@@ -91,16 +94,16 @@
     with contextlib.ExitStack() as exits:
         first = exits.enter_context(
             contextlib.closing(
-                idle_timeout.IdleTimeout(first_silence_s(request))
+                idle_timeout.IdleTimeout(first_byte_timeout_s(request))
             )
         )
         later = exits.enter_context(
             contextlib.closing(
-                idle_timeout.IdleTimeout(_gap_silence_s(request))
+                idle_timeout.IdleTimeout(_gap_timeout_s(request))
             )
         )
         while True:
-            with limit_silence(later if splitter.event_count else first):
+            with raise_on_timeout(later if splitter.event_count else first):
                 chunk = await anext(chunks, None)
             if chunk is None:
                 return
--- a/lacewingpitch/backend_call.py
+++ b/lacewingpitch/backend_call.py
@@ -223,18 +223,18 @@
 
     Parameters
     ----------
-    is_silence
-        Whether the server stopped sending, rather than the answer being
-        broken or invalid.
+    is_timeout
+        Whether the answer took too long, rather than being interrupted or
+        invalid.
     """
 
-    def __init__(self, detail: str, *, is_silence: bool = False) -> None:
+    def __init__(self, detail: str, *, is_timeout: bool = False) -> None:
         super().__init__(detail)
-        self.is_silence = is_silence
+        self.is_timeout = is_timeout
 
 
 def is_disconnect(error: errors.PlatformError) -> bool:
     """Whether an error shows that a connection ended before its answer."""
     if isinstance(error, AnswerLostError):
-        return not error.is_silence
+        return not error.is_timeout
     return isinstance(error, StaleConnectionError)
--- a/lacewingpitch/draining.py
+++ b/lacewingpitch/draining.py
@@ -1,4 +1,4 @@
-"""How an entry ends without cutting anything."""
+"""Draining of an entry: it ends without interrupting requests."""
 
 import asyncio
 from typing import Protocol
@@ -7,27 +7,28 @@
 
 from lacewingpitch import clock as clock_module
 
-# Balancers take an instance out after two questions a second apart.
+# Load balancers remove an instance after two failed checks, which are one
+# second apart.
 _OUT_OF_ROTATION_S = 2.2
-# A stream that begins later than this would seldom end within the time
-# to drain; its caller is told at once that it has not run.
-_TAKEN_WHILE_DRAINING_S = 2.9
-_CHECK_S = 0.05
-# Of the time to drain, for closing what is left and ending the process.
-_LEFT_TO_CLOSE_S = 0.8
+# A stream that begins later would seldom end within the drain time.  It is
+# refused at once, which tells its caller that it has not run.
+_ACCEPTING_S = 2.9
+_POLL_INTERVAL_S = 0.05
+# Part of the drain time for closing connections and ending the process.
+_CLOSING_S = 0.8
 log = structlog.get_logger(__name__)
 
 
 class Drainable(Protocol):
-    """Takes requests, and can stop to.
+    """A frontend that can stop accepting requests.
 
     Attributes
     ----------
     is_draining
-        Whether it says that it is not ready, and closes connections
-        with their answers.
+        Whether it reports that it is not ready, and closes each connection
+        after its answer.
     is_refusing
-        Whether it refuses requests that still come.
+        Whether it refuses requests that still arrive.
     """
 
     is_draining: bool
@@ -39,7 +40,7 @@
         ...
 
     async def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Accept no new connections."""
         ...
 
     def close_idle(self) -> None:
@@ -48,25 +49,34 @@
 
 
 async def drain(
-    front: Drainable, clock: clock_module.Clock, drain_s: float
+    frontend: Drainable, clock: clock_module.Clock, drain_s: float
 ) -> None:
-    """Return once nothing is in progress, or the time is nearly over.
+    """Stop accepting requests; return once none is in progress.
 
-    Requests come until the balancer has noticed, and on connections that
-    are kept for as long as these are open.  Taken and cut at the end,
-    they would be lost with their answers half delivered.
+    Returns earlier if only `_CLOSING_S` of the drain time are left.
+
+    Requests arrive until the load balancer has removed the instance, and on
+    kept-alive connections for as long as these are open.  If they were
+    interrupted at the end, their answers would be lost half delivered.
+
+    Parameters
+    ----------
+    drain_s
+        Time until the process must have ended, in seconds.
     """
-    front.is_draining = True
+    frontend.is_draining = True
     started_s = clock.monotonic_s()
     took_s = 0.0
-    while took_s < drain_s - _LEFT_TO_CLOSE_S:
-        await asyncio.sleep(_CHECK_S)
+    while took_s < drain_s - _CLOSING_S:
+        await asyncio.sleep(_POLL_INTERVAL_S)
         took_s = clock.monotonic_s() - started_s
         if took_s < _OUT_OF_ROTATION_S:
             continue
-        await front.stop_listening()
-        front.close_idle()
-        front.is_refusing = took_s >= _TAKEN_WHILE_DRAINING_S
-        if front.is_refusing and not front.in_progress:
+        await frontend.stop_listening()
+        frontend.close_idle()
+        frontend.is_refusing = took_s >= _ACCEPTING_S
+        if frontend.is_refusing and not frontend.in_progress:
             break
-    log.info('drained', took_s=round(took_s, 3), left_over=front.in_progress)
+    log.info(
+        'drained', took_s=round(took_s, 3), left_over=frontend.in_progress
+    )
--- a/lacewingpitch/event_splitter.py
+++ b/lacewingpitch/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cutting a stream of numbered events so that another run can go on."""
+"""Splitting of a stream into numbered events, resumable on another server."""
 
 import re
 
@@ -8,19 +8,19 @@
 
 
 class EventGapError(Exception):
-    """A run went on behind the event that is due next."""
+    """A stream lacks the event that is due next."""
 
 
 class EventSplitter:
-    """Passes on whole events, each number once and none left out.
+    """Passes on complete events, each number once and without gaps.
 
-    An engine may stop in the middle of an event, and a run that goes on
-    may begin with events that were passed on already.
+    An engine may stop in the middle of an event, and a stream that another
+    engine resumes may begin with events that were already passed on.
 
     Parameters
     ----------
     last_id
-        Number of the last event that the caller has.
+        Number of the last event that the caller has received.
     """
 
     def __init__(self, last_id: int = 0) -> None:
@@ -31,20 +31,21 @@
 
     @property
     def is_at_event_end(self) -> bool:
-        """Whether no event has been begun and not ended."""
+        """Whether the bytes so far end with a complete event."""
         return not self._rest.strip()
 
-    def begin_run(self) -> None:
-        """Forget the torn event of a run that broke off."""
+    def drop_partial_event(self) -> None:
+        """Drop the incomplete last event of a stream that broke off."""
         self._rest = b''
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take bytes as they came; return the whole events among them.
+        """Accept a chunk of the stream; return the events it completes.
 
         Raises
         ------
         EventGapError
-            An event is missing, or is larger than `MAX_EVENT_BYTES`.
+            An event is missing, has no number although others have, or is
+            larger than `MAX_EVENT_BYTES`.
         """
         data = self._rest + chunk
         end = data.rfind(_EVENT_END)
@@ -55,28 +56,28 @@
             return b''
         end += len(_EVENT_END)
         self._rest = data[end:]
-        return self._take(data[:end])
+        return self._accept(data[:end])
 
-    def _take(self, events: bytes) -> bytes:
+    def _accept(self, events: bytes) -> bytes:
         numbers = [int(found) for found in _ID.findall(events)]
         if not numbers:
             if self._is_numbered:
-                # What bears no number can't be told from a repetition.
-                raise EventGapError('an event without a number')
+                # Without a number it may be a repetition.
+                raise EventGapError('an event has no number')
             self.event_count += 1
             return events
         expected = range(self.last_id + 1, self.last_id + 1 + len(numbers))
         if not self._is_numbered and not self.last_id:
-            # The first run says where its numbers begin.
+            # The first engine decides where the numbers begin.
             expected = range(numbers[0], numbers[0] + len(numbers))
         self._is_numbered = True
         if numbers == list(expected):
             self.last_id = numbers[-1]
             self.event_count += len(numbers)
             return events
-        return self._without_repeated(events)
+        return self._drop_repeated(events)
 
-    def _without_repeated(self, events: bytes) -> bytes:
+    def _drop_repeated(self, events: bytes) -> bytes:
         kept = []
         for event in events.split(_EVENT_END)[:-1]:
             found = _ID.search(event)
@@ -85,7 +86,7 @@
                 continue
             if number != self.last_id + 1:
                 raise EventGapError(
-                    f'event {number} came after {self.last_id}'
+                    f'event {number} follows event {self.last_id}'
                 )
             self.last_id = number
             self.event_count += 1
--- a/lacewingpitch/event_stream.py
+++ b/lacewingpitch/event_stream.py
@@ -1,4 +1,4 @@
-"""Passing on a stream of server-sent events without parsing them."""
+"""Relaying of server-sent events without parsing them."""
 
 from lacewingpitch import errors
 from lacewingpitch import response_format
@@ -8,10 +8,10 @@
 
 
 class EventRelay:
-    """Cuts a stream at the ends of its events.
+    """Splits a stream at the ends of its events.
 
-    Only whole events are passed on, so that a stream which breaks can
-    be taken up after the last of them with nothing twice or torn.
+    Passes on complete events only, so that a stream that breaks off can be
+    resumed after the last of them, without repeated or incomplete events.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
 
     @property
     def is_failed(self) -> bool:
-        """Whether the last event tells of an error; it is the end."""
+        """Whether the last event reports an error, which ends the stream."""
         start = self._last.rfind(
             response_format.EVENT_END, 0, -len(response_format.EVENT_END)
         )
@@ -31,7 +31,7 @@
         return self._last.startswith(_ERROR_EVENT, max(start, 0))
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take bytes as they came; return the whole events so far.
+        """Accept a chunk of the stream; return the events it completes.
 
         Raises
         ------
@@ -41,9 +41,9 @@
         if self.is_complete:
             return b''
         if not self._rest and chunk.endswith(response_format.EVENT_END):
-            # Most chunks are whole events; only the mark needs a search.
+            # Most chunks are complete events; only the end mark is searched.
             if response_format.STREAM_END not in chunk:
-                return self._pass(chunk)
+                return self._pass_on(chunk)
         data = self._rest + chunk
         end = self._end_of_stream(data)
         if end < 0:
@@ -54,21 +54,21 @@
             end = 0
         events, self._rest = data[:end], data[end:]
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise errors.PlatformError('event too large')
-        return self._pass(events) if events else events
+            raise errors.PlatformError('an event is too large')
+        return self._pass_on(events) if events else events
 
     def drop_partial_event(self) -> None:
-        """Forget the start of an event whose rest was lost."""
+        """Drop the incomplete last event of a stream that broke off."""
         self._rest = b''
 
-    def _pass(self, events: bytes) -> bytes:
+    def _pass_on(self, events: bytes) -> bytes:
         self.event_count += events.count(response_format.EVENT_END)
         self._last = events
         return events
 
     def _end_of_stream(self, data: bytes) -> int:
-        # `data` begins at the start of an event, so the mark is an event
-        # of its own there or after the end of another one.
+        # `data` begins with the start of an event, so the mark is an event of
+        # its own at the start or after the end of another event.
         if data.startswith(response_format.STREAM_END):
             end = len(response_format.STREAM_END)
         else:
--- a/lacewingpitch/idle_timeout.py
+++ b/lacewingpitch/idle_timeout.py
@@ -1,4 +1,4 @@
-"""One timer for the many short waits of a stream."""
+"""Timeout that is reused for the many short waits of a stream."""
 
 import asyncio
 from types import TracebackType
@@ -6,17 +6,18 @@
 
 
 class IdleTimeout:
-    """Ends a wait that takes too long, as `asyncio.timeout` would.
+    """Limits the length of each wait, as `asyncio.timeout` does.
 
-    It is entered again for each wait.  It keeps its timer from wait to
-    wait, since one for each token costs too much, and looks only when it
-    fires how long the wait in progress has lasted.  One that is dropped
-    lives for `limit_s` more at most, and holds no task.
+    The same object is entered for each wait.  It keeps its timer between
+    waits, since a new timer for each token would cost too much, and checks
+    the length of the current wait only when the timer fires.  The timer of
+    an object that was not closed fires within `limit_s`, and does not
+    reference a task.
 
     Parameters
     ----------
     limit_s
-        How long a wait may last.
+        Maximum length of a wait.
     """
 
     __slots__ = (
@@ -40,7 +41,7 @@
 
     def __enter__(self) -> None:
         """Begin a wait."""
-        # With the loop given, nothing has to be looked up.
+        # Passing the loop saves a lookup of the running loop.
         task = asyncio.current_task(self._loop)
         assert task is not None
         assert self._task is None
@@ -48,7 +49,7 @@
         self._cancelling_count = task.cancelling()
         self._began_s = self._loop.time()
         if self._timer is None:
-            self._timer = self._loop.call_later(self._limit_s, self._look)
+            self._timer = self._loop.call_later(self._limit_s, self._check)
 
     def __exit__(
         self,
@@ -61,7 +62,7 @@
         Raises
         ------
         TimeoutError
-            It took too long.
+            The wait took longer than the limit.
         """
         if not self._is_expired:
             self._task = None
@@ -69,25 +70,24 @@
         task, self._task = self._task, None
         self._is_expired = False
         assert task is not None
-        # Somebody else may have cancelled the task as well: that one
-        # must not be lost.
-        others = task.uncancel() > self._cancelling_count
-        if kind is asyncio.CancelledError and not others:
+        # Another cancellation of the task must not be lost.
+        was_cancelled = task.uncancel() > self._cancelling_count
+        if kind is asyncio.CancelledError and not was_cancelled:
             raise TimeoutError from error
 
     def close(self) -> None:
-        """Drop the timer."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._timer = None
         if self._task is None:
             return
         left_s = self._began_s + self._limit_s - self._loop.time()
         if left_s > 0:
-            self._timer = self._loop.call_later(left_s, self._look)
+            self._timer = self._loop.call_later(left_s, self._check)
             return
         self._is_expired = True
         self._task.cancel()
--- a/lacewingpitch/platform_call.py
+++ b/lacewingpitch/platform_call.py
@@ -1,4 +1,4 @@
-"""Turns failures of calls to the platform into one exception type."""
+"""Helpers for calls to the platform: errors and size limits."""
 
 from collections.abc import Iterator
 import contextlib
@@ -11,7 +11,13 @@
 
 @contextlib.contextmanager
 def platform_errors(name: str) -> Iterator[None]:
-    """Raise what fails inside as `errors.PlatformError`."""
+    """Convert errors of a call to `errors.PlatformError`.
+
+    Parameters
+    ----------
+    name
+        Name of the called part of the platform, for the error message.
+    """
     try:
         yield
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
@@ -20,25 +26,25 @@
         ) from error
     except (msgspec.DecodeError, RecursionError) as error:
         raise errors.PlatformError(
-            f'{name}: unusable answer: {error}'
+            f'{name}: invalid answer: {error}'
         ) from error
 
 
 async def read_limited(
     response: aiohttp.ClientResponse, max_bytes: int
 ) -> bytes:
-    """Return the body of an answer.
+    """Return the body of a response.
 
     Raises
     ------
     PlatformError
-        It is larger than `max_bytes`.
+        The body is larger than `max_bytes`.
     """
     data = bytearray()
     async for chunk in response.content.iter_any():
         data += chunk
         if len(data) > max_bytes:
             raise errors.PlatformError(
-                f'an answer is larger than {max_bytes} bytes'
+                f'the answer is larger than {max_bytes} bytes'
             )
     return bytes(data)
--- a/lacewingpitch/read_backoff.py
+++ b/lacewingpitch/read_backoff.py
@@ -1,26 +1,26 @@
-"""When a read that failed is tried again."""
+"""Backoff between failed reads of a store."""
 
 import random
 
 _FIRST_PAUSE_S = 0.05
 _MAX_PAUSE_S = 1.0
 _MAX_DOUBLINGS = 8
-# Between the beginnings of two tries, by a process that knows nothing yet.
+# Time between the starts of two attempts, before the first read succeeds.
 _START_INTERVAL_S = 0.4
 
 
 class ReadBackoff:
-    """Pauses between reads of a store that fails.
+    """Computes the pauses between reads of a store that fails.
 
-    Load it answers: a store that is away as all processes restart.  None
-    of them serves until it has read what is published once, so that those
-    that know nothing try again soon after each failure.  Those that know
-    something serve on with it, and wait longer each time.
+    The store may be down while all processes restart.  A process serves no
+    requests before its first successful read, so it retries soon after each
+    failure.  After the first read it keeps serving with what it has read,
+    and backs off exponentially.
 
     Parameters
     ----------
     source
-        Spreads the tries of processes that failed together.
+        Draws the jitter for processes that failed together.
     """
 
     def __init__(self, source: random.Random) -> None:
@@ -29,17 +29,17 @@
         self.failure_count = 0
 
     def record_success(self) -> None:
-        """Take note of a read that was answered."""
+        """Record a successful read."""
         self._has_read = True
         self.failure_count = 0
 
     def record_failure(self, took_s: float) -> float:
-        """Take note of a read that failed; return how long to wait.
+        """Record a failed read; return the pause before the next, in seconds.
 
         Parameters
         ----------
         took_s
-            How long it took to fail.
+            Time from the start of the read to its failure.
         """
         self.failure_count += 1
         if not self._has_read:
--- a/lacewingpitch/request_fingerprint.py
+++ b/lacewingpitch/request_fingerprint.py
@@ -1,4 +1,4 @@
-"""Names what a request is, the same for each attempt of it."""
+"""Fingerprints that identify a request across attempts of its caller."""
 
 import hashlib
 
@@ -9,20 +9,22 @@
 def of(method: str, target: str, organisation: str, body: bytes) -> str:
     """Return the fingerprint of a request.
 
-    Callers name each attempt anew, so that an id tells nothing of what
-    came before.  The fingerprint holds none of the request's text.
+    Callers use a new id for each attempt, so that an id does not show that
+    attempts belong together.  The fingerprint contains none of the
+    request's text.
 
     Parameters
     ----------
     target
         Path and query.
     organisation
-        Whose request it is; empty if nobody's.
+        Name of the organisation that sends it; empty if callers need no API
+        key.
     """
-    found = hashlib.blake2b(key=_KEY, digest_size=_DIGEST_BYTES)
+    digest = hashlib.blake2b(key=_KEY, digest_size=_DIGEST_BYTES)
     for part in (method, target, organisation):
         data = part.encode(errors='surrogateescape')
-        found.update(len(data).to_bytes(4))
-        found.update(data)
-    found.update(body)
-    return found.hexdigest()
+        digest.update(len(data).to_bytes(4))
+        digest.update(data)
+    digest.update(body)
+    return digest.hexdigest()
--- a/lacewingpitch/request_forwarder.py
+++ b/lacewingpitch/request_forwarder.py
@@ -154,7 +154,7 @@
                 return
             # The turn has ended, and its slot is free for other requests.
             if self._should_retry(request, services[0], history, failure):
-                history.splitter.begin_run()
+                history.splitter.drop_partial_event()
                 continue
             if failure.answer is None or delivery.has_begun:
                 raise failure.refusal
@@ -253,10 +253,12 @@
     ) -> None:
         request = call.request
         with contextlib.closing(
-            idle_timeout.IdleTimeout(answer_reading.first_silence_s(request))
-        ) as silence:
+            idle_timeout.IdleTimeout(
+                answer_reading.first_byte_timeout_s(request)
+            )
+        ) as timeout:
             async with contextlib.AsyncExitStack() as exits:
-                with answer_reading.limit_silence(silence):
+                with answer_reading.raise_on_timeout(timeout):
                     answer = await exits.enter_async_context(
                         self._client.send(call)
                     )
@@ -265,7 +267,7 @@
                         request, answer, history, delivery
                     )
                     return
-                with answer_reading.limit_silence(silence):
+                with answer_reading.raise_on_timeout(timeout):
                     body = await answer_reading.read_whole(answer)
         _check_status(answer, body, delivery)
         history.status = answer.status
@@ -281,7 +283,7 @@
         if history.first_answer is None:
             history.first_answer = answer
         splitter = history.splitter
-        async for events in answer_reading.whole_events(
+        async for events in answer_reading.read_events(
             request, answer, splitter
         ):
             history.record_events(request, self._clock.monotonic_s())
--- a/lacewingpitch/response_format.py
+++ b/lacewingpitch/response_format.py
@@ -1,4 +1,4 @@
-"""How a refusal or a broken stream is put to whoever asked."""
+"""HTTP format of refusals, error events and the ends of streams."""
 
 import math
 
@@ -15,7 +15,7 @@
 def refusal_response(
     error: errors.RefusalError, request_id: str
 ) -> web.Response:
-    """Return the HTTP answer of a refusal."""
+    """Return the HTTP response to a request that is refused."""
     headers = {
         work.REQUEST_ID_HEADER: request_id,
         work.OUTCOME_HEADER: error.outcome.value,
@@ -37,5 +37,5 @@
 
 
 def error_event(error: errors.RefusalError) -> bytes:
-    """Return the event that ends a stream that cannot be whole."""
+    """Return the event that ends a stream that cannot be completed."""
     return b'event: error\ndata: ' + error_json(error) + EVENT_END
--- a/lacewingpitch/silent_connections.py
+++ b/lacewingpitch/silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections of callers that never send a request."""
+"""Detection of callers' connections that never send a request."""
 
 from collections.abc import Hashable, Iterable
 from typing import Generic, TypeVar
@@ -9,12 +9,12 @@
 
 
 class SilentConnections(Generic[_Connection]):
-    """Finds connections on which no whole head came in time.
+    """Finds connections on which no complete request head arrived in time.
 
-    Failure it answers: a caller opens connections and sends nothing, or a
-    head byte by byte.  The HTTP library limits the idle time between two
-    requests alone; such connections would stay for ever, until the
-    process has no descriptor left and takes nobody any more.
+    Guards against callers that open connections and send nothing, or a head
+    byte by byte.  The HTTP library only limits the idle time between two
+    requests.  Such connections would stay open until the process has no
+    file descriptor left and accepts no more connections.
 
     Parameters
     ----------
@@ -28,25 +28,25 @@
         self._used: set[_Connection] = set()
 
     def record_request(self, connection: _Connection) -> None:
-        """Take note that a whole head has come."""
+        """Record that a complete request head has arrived."""
         self._used.add(connection)
 
     def overdue(
         self, connections: Iterable[_Connection], limit_s: float
     ) -> list[_Connection]:
-        """Return those that have been silent for longer than a limit.
+        """Return the connections without a request for longer than a limit.
 
         Parameters
         ----------
         connections
-            All that are open now; others are forgotten.
+            All open connections; others are forgotten.
         """
         now_s = self._clock.monotonic_s()
-        found = set(connections)
-        self._used &= found
+        open_connections = set(connections)
+        self._used &= open_connections
         self._silent_since_s = {
             connection: self._silent_since_s.get(connection, now_s)
-            for connection in found - self._used
+            for connection in open_connections - self._used
         }
         return [
             connection
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""How an entry ends, in virtual time."""
+"""Draining of an entry, in virtual time."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from lacewingpitch import draining
 
 
-class Front:
-    """Counts requests, and notes what it was told and when."""
+class Frontend:
+    """Counts requests, and records when it stops listening."""
 
     def __init__(self):
         self.is_draining = False
@@ -25,34 +25,34 @@
         self.closed_idle = True
 
 
-def play(front, drain_s=8.0, end_at_s=None):
+def play(frontend, drain_s=8.0, end_at_s=None):
     async def main():
         loop = asyncio.get_running_loop()
         if end_at_s is not None:
-            loop.call_later(end_at_s, setattr, front, 'in_progress', 0)
-        await draining.drain(front, virtual_time.LoopClock(), drain_s)
+            loop.call_later(end_at_s, setattr, frontend, 'in_progress', 0)
+        await draining.drain(frontend, virtual_time.LoopClock(), drain_s)
         return loop.time()
 
     return virtual_time.run(main())
 
 
 class TestDrain:
-    def test_takes_requests_until_the_balancer_has_noticed(self):
-        front = Front()
-        took_s = play(front)
-        assert front.is_draining
-        assert 2.0 < front.listening_until_s < 2.4
-        assert front.closed_idle
+    def test_accepts_requests_until_the_balancer_has_removed_it(self):
+        frontend = Frontend()
+        took_s = play(frontend)
+        assert frontend.is_draining
+        assert 2.0 < frontend.listening_until_s < 2.4
+        assert frontend.closed_idle
         assert 2.8 < took_s < 3.1
 
-    def test_waits_for_what_is_in_progress(self):
-        """A stream breaks off while an instance is replaced."""
-        front = Front()
-        front.in_progress = 1
-        assert 4.9 < play(front, end_at_s=5.0) < 5.2
-        assert front.is_refusing
-
-    def test_ends_before_it_is_ended_by_force(self):
-        front = Front()
-        front.in_progress = 1
-        assert 7.0 < play(front) < 7.4
+    def test_waits_for_requests_in_progress(self):
+        """Guards against cutting a stream while an instance is replaced."""
+        frontend = Frontend()
+        frontend.in_progress = 1
+        assert 4.9 < play(frontend, end_at_s=5.0) < 5.2
+        assert frontend.is_refusing
+
+    def test_ends_before_the_process_is_killed(self):
+        frontend = Frontend()
+        frontend.in_progress = 1
+        assert 7.0 < play(frontend) < 7.4
--- a/tests/test_event_splitter.py
+++ b/tests/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""Whole events, each once, over the runs of one stream."""
+"""Splitting of a stream into events, each passed on once."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -16,7 +16,7 @@
 
 
 class TestFeed:
-    def test_passes_on_whole_events_only(self):
+    def test_passes_on_complete_events_only(self):
         splitter = event_splitter.EventSplitter()
         data = events(1, 2)
         assert splitter.feed(data[:-3]) == event(1)
@@ -26,7 +26,7 @@
         assert splitter.last_id == 2
 
     @given(strategies.lists(strategies.integers(1, 40), max_size=30))
-    def test_any_cut_gives_the_same_bytes(self, sizes):
+    def test_any_chunks_give_the_same_bytes(self, sizes):
         splitter = event_splitter.EventSplitter()
         data = events(1, 9)
         out = b''
@@ -43,38 +43,38 @@
         assert splitter.event_count == 1
 
 
-class TestNextRun:
-    def test_goes_on_after_the_last_whole_event(self):
-        """A caller sees half an event, and then the whole of it.
+class TestResume:
+    def test_continues_after_the_last_complete_event(self):
+        """Guards against a partial event that is followed by its repetition.
 
-        The first engine crashes in the middle of event 3; the next one
-        is asked for what follows event 2.
+        The first engine crashes in the middle of event 3; the next one is
+        asked for the events after event 2.
         """
         splitter = event_splitter.EventSplitter()
         splitter.feed(events(1, 2) + b'id: 3\nda')
-        splitter.begin_run()
+        splitter.drop_partial_event()
         assert splitter.feed(events(3, 4)) == events(3, 4)
 
-    def test_leaves_out_what_was_passed_on(self):
+    def test_drops_events_that_were_passed_on(self):
         splitter = event_splitter.EventSplitter()
         splitter.feed(events(1, 3))
-        splitter.begin_run()
+        splitter.drop_partial_event()
         assert splitter.feed(events(2, 5)) == events(4, 5)
 
     def test_refuses_a_gap(self):
         splitter = event_splitter.EventSplitter()
         splitter.feed(events(1, 3))
-        splitter.begin_run()
+        splitter.drop_partial_event()
         with pytest.raises(event_splitter.EventGapError):
             splitter.feed(events(5, 6))
 
     def test_refuses_an_event_without_number(self):
         splitter = event_splitter.EventSplitter()
         splitter.feed(events(1, 3))
-        splitter.begin_run()
+        splitter.drop_partial_event()
         with pytest.raises(event_splitter.EventGapError):
             splitter.feed(b'data: y\n\n')
 
-    def test_a_caller_that_resumes_gets_what_follows(self):
+    def test_a_caller_that_resumes_gets_the_following_events(self):
         splitter = event_splitter.EventSplitter(last_id=12)
         assert splitter.feed(events(11, 14)) == events(13, 14)
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Streams cut at the ends of their events, whatever the chunks."""
+"""Splitting of streams at the ends of their events, for any chunks."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -17,20 +17,20 @@
 )
 
 
-def cut(stream, places):
-    edges = [0, *sorted(place % (len(stream) + 1) for place in places)]
+def split(stream, positions):
+    edges = [0, *sorted(p % (len(stream) + 1) for p in positions)]
     edges.append(len(stream))
     return [
         stream[start:end] for start, end in zip(edges, edges[1:], strict=False)
     ]
 
 
-class TestCutting:
+class TestSplitting:
     @given(EVENTS, strategies.lists(strategies.integers(0, 1000), max_size=9))
-    def test_any_cutting_gives_the_same_events(self, events, places):
+    def test_any_chunks_give_the_same_events(self, events, positions):
         stream = b''.join(events) + response_format.STREAM_END
         relay = event_stream.EventRelay()
-        parts = [relay.feed(chunk) for chunk in cut(stream, places)]
+        parts = [relay.feed(chunk) for chunk in split(stream, positions)]
         assert b''.join(parts) == stream
         assert all(p.endswith(response_format.EVENT_END) for p in parts if p)
         assert relay.event_count == len(events) + 1
@@ -42,23 +42,23 @@
         strategies.lists(strategies.integers(0, 1000), max_size=9),
         strategies.integers(0, 1000),
     )
-    def test_taken_up_after_a_break_it_is_whole(self, events, places, end):
+    def test_a_resumed_stream_is_complete(self, events, positions, end):
         stream = b''.join(events) + response_format.STREAM_END
         relay = event_stream.EventRelay()
         broken = stream[: end % len(stream)]
-        parts = [relay.feed(chunk) for chunk in cut(broken, places)]
+        parts = [relay.feed(chunk) for chunk in split(broken, positions)]
         assert not relay.is_complete
         relay.drop_partial_event()
         rest = b''.join(
             [*events, response_format.STREAM_END][relay.event_count :],
         )
-        parts += [relay.feed(chunk) for chunk in cut(rest, places)]
+        parts += [relay.feed(chunk) for chunk in split(rest, positions)]
         assert b''.join(parts) == stream
         assert relay.is_complete
 
 
 class TestEnd:
-    def test_nothing_passes_after_the_end(self):
+    def test_nothing_is_passed_on_after_the_end(self):
         relay = event_stream.EventRelay()
         data = b'data: 1\n\n' + response_format.STREAM_END
         assert relay.feed(data + b'data: 2\n\n') == data
@@ -70,7 +70,7 @@
         relay.feed(b'data: see data: [DONE]\n\n')
         assert not relay.is_complete
 
-    def test_error_event_is_told_from_others(self):
+    def test_error_event_is_recognized(self):
         error = errors.RefusalError(errors.ErrorKind.ANSWER_CUT, 'cut')
         relay = event_stream.EventRelay()
         relay.feed(b'data: 1\n\n' + response_format.error_event(error))
--- a/tests/test_idle_timeout.py
+++ b/tests/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""Waits that one timer ends."""
+"""Timeouts of many waits that share one timer."""
 
 import asyncio
 
@@ -48,9 +48,10 @@
         ids=['before the limit', 'in the moment of the limit'],
     )
     def test_wins_over_expiry(self, cancel_s):
-        # The caller hangs up, perhaps in the very turn in which the
-        # sidecar has been silent for too long.  Were its cancelling taken
-        # for the expiry, the request would run on for nobody.
+        # The caller may disconnect in the same iteration of the event loop
+        # in which the sidecar's timeout expires.  If its cancellation were
+        # treated as the timeout, the request would continue without a
+        # caller.
         async def wait(limit):
             with limit:
                 await asyncio.sleep(100.0)
@@ -80,7 +81,7 @@
 
         virtual_time.run(main())
 
-    def test_a_dropped_one_lets_its_timer_run_out(self):
+    def test_the_timer_of_a_dropped_object_ends(self):
         async def main():
             loop = asyncio.get_running_loop()
             with idle_timeout.IdleTimeout(LIMIT_S):
--- a/tests/test_read_backoff.py
+++ b/tests/test_read_backoff.py
@@ -1,4 +1,4 @@
-"""When a read that failed is tried again."""
+"""Backoff between failed reads of a store."""
 
 import random
 
@@ -15,12 +15,12 @@
 
 
 class TestStart:
-    def test_a_store_that_returns_is_read_soon(self, backoff):
-        """Callers are refused for two seconds after the store is back.
+    def test_a_recovered_store_is_read_soon(self, backoff):
+        """Guards against refusing callers for 2 s after a store's recovery.
 
-        All processes lost their power while the store was silent.  Each
-        read that began before its return is lost, and the longest pause
-        follows it.
+        All processes have lost their power while the store did not answer.
+        Each read that began before its recovery times out, and would be
+        followed by the longest pause.
         """
         for _ in range(10):
             assert TIMEOUT_S + backoff.record_failure(TIMEOUT_S) < 1.0
@@ -36,7 +36,7 @@
         assert pauses_s[0] <= 0.1
         assert 0.5 <= pauses_s[-1] <= 1.0
 
-    def test_begin_anew_once_a_read_is_answered(self, backoff):
+    def test_start_again_after_a_successful_read(self, backoff):
         backoff.record_success()
         for _ in range(10):
             backoff.record_failure(0.001)
--- a/tests/test_request_fingerprint.py
+++ b/tests/test_request_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one."""
+"""Which requests have the same fingerprint."""
 
 import hypothesis
 from hypothesis import strategies
@@ -15,7 +15,7 @@
 
 class TestFingerprint:
     @hypothesis.given(PARTS, PARTS)
-    def test_is_equal_for_equal_requests_alone(self, one, other):
+    def test_is_equal_for_equal_requests_only(self, one, other):
         found = request_fingerprint.of(*one), request_fingerprint.of(*other)
         assert (found[0] == found[1]) == (one == other)
 
--- a/tests/test_request_forwarder.py
+++ b/tests/test_request_forwarder.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its final answer, in virtual time."""
+"""Forwarding of one request until its final answer, in virtual time."""
 
 import asyncio
 import contextlib
@@ -48,7 +48,7 @@
 
 
 class Script:
-    """What the backend servers do with each sending, in turn."""
+    """Backend servers that follow a script, one step for each attempt."""
 
     def __init__(self, *steps):
         self.steps = list(steps)
@@ -84,7 +84,7 @@
 
 
 class Delivered:
-    """What reached the caller."""
+    """Records what reaches the caller."""
 
     def __init__(self):
         self.head = None
@@ -112,7 +112,7 @@
 
 
 class Turns:
-    """Grants turns at the servers in order."""
+    """Grants turns on the servers in their order."""
 
     def __init__(self):
         self.wanted = []
@@ -135,7 +135,7 @@
 
 
 class Scene:
-    """A carrier before scripted backend servers."""
+    """A forwarder with scripted backend servers."""
 
     def __init__(self, *steps, allowance=100.0):
         self.clock = virtual_time.LoopClock()
@@ -159,7 +159,7 @@
             self.suspects,
         )
 
-    async def carry(self, found_route, model='', limit_s=5.0, **fields):
+    async def forward(self, found_route, model='', limit_s=5.0, **fields):
         now_s = self.clock.monotonic_s()
         request = backend_call.CallerRequest(
             request_id='id-1',
@@ -177,12 +177,12 @@
 
 
 def play(found_route, *steps, allowance=100.0, **fields):
-    """Return the scene after a request, and its refusal if it has one."""
+    """Forward a request; return the scene and the refusal, if any."""
 
     async def main():
         scene = Scene(*steps, allowance=allowance)
         try:
-            await scene.carry(found_route, **fields)
+            await scene.forward(found_route, **fields)
         except errors.RefusalError as error:
             return scene, error
         return scene, None
@@ -208,7 +208,7 @@
         assert scene.delivered.body == b'body'
         assert scene.client.calls[0].request.target == '/x?y=1'
 
-    def test_a_broken_one_never_reaches_the_caller(self):
+    def test_a_broken_answer_never_reaches_the_caller(self):
         broken = {'chunks': (b'bo', LOST)}
         scene, refusal = play(SAFE, broken, {})
         assert refusal is None
@@ -216,22 +216,22 @@
 
     @pytest.mark.parametrize('status', [408, 421, 429, 503])
     def test_a_status_that_promises_not_run_is_not_passed_on(self, status):
-        """A watering command runs twice.
+        """Guards against a command that runs twice.
 
-        A backend server answers 503 and has run the request; the caller
-        takes that for a promise and sends it again.
+        A backend server runs the request and answers 503.  The caller
+        treats that as a promise that it did not run, and sends it again.
         """
         scene, refusal = play(ONCE, {'status': status})
         assert refusal.outcome is Outcome.UNKNOWN
         assert not scene.delivered.has_begun
 
-    def test_a_failure_is_delivered_if_it_cannot_be_replaced(self):
+    def test_a_failure_is_delivered_if_it_cannot_be_retried(self):
         scene, refusal = play(ONCE, {'status': 500, 'chunks': (b'no',)})
         assert refusal is None
         assert scene.delivered.head.status == 500
         assert scene.delivered.body == b'no'
 
-    def test_a_failure_is_replaced_where_it_may_run_again(self):
+    def test_a_failure_is_retried_if_the_request_is_idempotent(self):
         scene, refusal = play(SAFE, {'status': 500}, {})
         assert refusal is None
         assert scene.delivered.head.status == 200
@@ -243,60 +243,60 @@
 
 class TestAtMostOnce:
     @pytest.mark.parametrize('step', [LOST, {'chunks': (LOST,)}])
-    def test_what_may_have_run_is_not_sent_again(self, step):
+    def test_a_request_that_may_have_run_is_not_retried(self, step):
         scene, refusal = play(ONCE, step)
         assert len(scene.client.calls) == 1
         assert refusal.outcome is Outcome.UNKNOWN
         assert refusal.status not in (408, 421, 429, 503)
 
-    def test_what_provably_did_not_run_is(self):
+    def test_a_request_that_did_not_run_is_retried(self):
         scene, refusal = play(ONCE, NOT_RUN, {})
         assert refusal is None
         names = [call.server.name for call in scene.client.calls]
         assert len(set(names)) == 2
 
-    def test_not_run_by_any_is_told_so(self):
+    def test_not_run_by_any_server_is_reported(self):
         _, refusal = play(ONCE, NOT_RUN, NOT_RUN)
         assert refusal.outcome is Outcome.NOT_RUN
         assert refusal.retry_after_s is not None
 
-    def test_not_run_is_not_said_after_an_attempt_that_may_have_run(self):
-        """A valve opens twice.
+    def test_not_run_is_not_reported_if_an_attempt_may_have_run(self):
+        """Guards against a caller that repeats a request that has run.
 
-        A first attempt is lost, the second is refused by a server that
-        is full.  Its "not run" speaks for the second attempt only.
+        The answer to the first attempt is lost, and a full server refuses
+        the second one.  Its "not run" holds for the second attempt only.
         """
         _, refusal = play(SAFE, LOST, NOT_RUN)
         assert refusal.outcome is Outcome.UNKNOWN
 
-    def test_a_server_that_hangs_is_waited_for(self):
+    def test_a_slow_server_is_waited_for(self):
         scene, refusal = play(ONCE, {'delay_s': 2.0})
         assert refusal is None
         assert len(scene.client.calls) == 1
 
 
 class TestAttempts:
-    def test_are_counted_against_the_route(self):
+    def test_are_limited_by_the_route(self):
         scene, refusal = play(route(max_attempts=1), LOST)
         assert len(scene.client.calls) == 1
         assert refusal.outcome is Outcome.UNKNOWN
 
-    def test_a_server_that_was_not_reached_counts_as_none(self):
+    def test_a_server_that_was_not_reached_is_not_counted(self):
         scene, refusal = play(route(max_attempts=1), NOT_SENT, {})
         assert refusal is None
         assert len(scene.client.calls) == 2
 
     def test_need_the_retry_budget(self):
-        """Back ends that fail get three times their load.
+        """Guards against multiplying the load of servers that fail.
 
-        All requests fail, and each is sent again.
+        All requests fail, and each is retried.
         """
         scene, refusal = play(SAFE, LOST, LOST, allowance=0.0)
         assert len(scene.client.calls) == 2
         scene, refusal = play(route(max_attempts=9), *[LOST] * 9)
         assert len(scene.client.calls) <= 9
 
-    def test_a_silent_server_is_left_for_another(self):
+    def test_an_unresponsive_server_is_left_for_another(self):
         scene, refusal = play(SAFE, {'delay_s': 4.0}, {})
         assert refusal is None
         assert len(scene.client.calls) == 2
@@ -305,43 +305,43 @@
 class TestStaleConnection:
     STALE = backend_call.StaleConnectionError('reset')
 
-    def test_is_sent_once_more_within_the_budget(self):
+    def test_is_retried_once_within_the_budget(self):
         scene, refusal = play(SAFE, self.STALE, {})
         assert refusal is None
         assert len(scene.client.calls) == 2
         scene, refusal = play(SAFE, self.STALE, self.STALE, {})
         assert len(scene.client.calls) == 2
 
-    def test_tells_nothing_of_the_server(self):
-        """Healthy servers are passed over after their idle connections.
+    def test_is_no_failure_of_the_server(self):
+        """Guards against ejecting a healthy server.
 
-        Three kept connections to one server are closed in a row as
-        requests are sent on them.
+        Three reused connections to it are closed in a row while requests
+        are sent on them.
         """
 
         async def main():
             scene = Scene(*[self.STALE] * 6)
             for _ in range(3):
                 with contextlib.suppress(errors.RefusalError):
-                    await scene.carry(SAFE)
+                    await scene.forward(SAFE)
             return scene.ejector.allowed(SERVERS)
 
         assert virtual_time.run(main()) == list(SERVERS)
 
 
 class TestTime:
-    def test_the_final_answer_comes_at_the_limit(self):
+    def test_the_request_is_refused_at_the_deadline(self):
         async def main():
             scene = Scene({'delay_s': 60.0})
             with pytest.raises(errors.RefusalError) as found:
-                await scene.carry(ONCE, limit_s=0.4)
+                await scene.forward(ONCE, limit_s=0.4)
             return scene.clock.monotonic_s(), found.value
 
         at_s, refusal = virtual_time.run(main())
         assert 0.4 <= at_s < 0.41
         assert refusal.outcome is Outcome.UNKNOWN
 
-    def test_the_time_left_is_passed_on(self):
+    def test_the_deadline_is_passed_on(self):
         scene, _ = play(ONCE, {}, limit_s=0.4)
         assert scene.client.calls[0].deadline_at_s == pytest.approx(0.4)
 
@@ -357,11 +357,12 @@
         assert (wanted.model, wanted.adapter) == ('m', 'a')
         assert scene.client.calls[0].adapter_version == 3
 
-    def test_one_that_may_be_resumed_goes_on_elsewhere(self):
-        """Half a care plan arrives, and then nothing.
+    def test_a_resumable_stream_continues_on_another_server(self):
+        """Guards against an answer that stops in the middle.
 
-        An engine crashes in the middle of an event.  Another goes on,
-        and the caller sees one stream with the head of the first.
+        An engine crashes in the middle of an event.  Another one resumes
+        the stream, and the caller receives one stream with the head of the
+        first.
         """
         first = {'chunks': (event(1), event(2)[:5], LOST)}
         second = {'chunks': (event(2), event(3))}
@@ -374,11 +375,11 @@
         assert scene.client.calls[1].last_event_id == 1
         assert scene.delivered.is_complete
 
-    def test_the_first_engine_is_left_before_the_next_goes_on(self):
-        """Two engines work on one stream.
+    def test_the_first_call_is_cancelled_before_the_stream_is_resumed(self):
+        """Guards against two engines that work on one stream.
 
-        The first falls silent; it must be told to stop before another
-        goes on.
+        The first stops sending.  Its call must be cancelled before another
+        engine resumes the stream.
         """
         first = {'chunks': (event(1), 5.0, event(2))}
         second = {'chunks': (event(2),)}
@@ -395,33 +396,33 @@
 
             scene.client.send = send
             found = route(is_resumable=True, **STREAM)
-            await scene.carry(found, model='m')
+            await scene.forward(found, model='m')
             return scene
 
         scene = virtual_time.run(main())
         assert scene.delivered.body == event(1) + event(2)
 
-    def test_one_that_may_not_is_cut_visibly(self):
+    def test_a_stream_that_cannot_be_resumed_is_reported_as_cut(self):
         first = {'chunks': (event(1), LOST)}
         scene, refusal = play(route(**STREAM), first, model='m')
         assert refusal.kind is errors.ErrorKind.ANSWER_CUT
         assert not scene.delivered.is_complete
         assert len(scene.client.calls) == 1
 
-    def test_one_that_ends_in_an_event_is_not_complete(self):
+    def test_a_stream_that_ends_within_an_event_is_not_complete(self):
         first = {'chunks': (event(1), event(2)[:4])}
         scene, refusal = play(route(**STREAM), first, model='m')
         assert refusal.kind is errors.ErrorKind.ANSWER_CUT
         assert not scene.delivered.is_complete
 
-    def test_one_that_fails_before_its_first_event_begins_anew(self):
+    def test_a_stream_that_fails_before_its_first_event_restarts(self):
         found = route(is_resumable=True, **STREAM)
         second = {'chunks': (event(1),)}
         scene, refusal = play(found, {'chunks': (LOST,)}, second, model='m')
         assert refusal is None
         assert scene.delivered.body == event(1)
 
-    def test_a_caller_that_resumes_is_passed_on(self):
+    def test_the_last_event_id_of_the_caller_is_passed_on(self):
         found = route(is_resumable=True, **STREAM)
         answer = {'chunks': (event(8),)}
         scene, refusal = play(found, answer, model='m', last_event_id=7)
@@ -429,11 +430,11 @@
         assert scene.client.calls[0].last_event_id == 7
         assert scene.delivered.body == event(8)
 
-    def test_a_turn_is_asked_for_while_it_is_of_use(self):
-        """Requests wait for engines long after their callers have left.
+    def test_a_turn_is_requested_only_while_the_caller_waits(self):
+        """Guards against requests that wait after their callers gave up.
 
-        Callers leave after 3.2 s without an event, with a deadline of
-        12 s.
+        Callers give up after 3.2 s without an event, although their
+        deadline is 12 s.
         """
         found = routing.Route(
             'r',
@@ -451,11 +452,11 @@
         assert wanted.start_by_s < 3.2
         assert wanted.until_s == pytest.approx(12.0)
 
-    def test_a_turn_to_go_on_is_of_use_as_long_as_its_caller_waits(self):
-        """A stream ends in its middle although another engine is free.
+    def test_a_turn_to_resume_is_useful_while_the_caller_waits(self):
+        """Guards against cutting a stream although an engine is free.
 
-        An engine crashes seconds after a stream began; the turn to go on
-        is refused, since the time to a first event is long over.
+        An engine crashes seconds after the stream began.  A turn to resume
+        it must not be refused because the target latency has passed.
         """
         found = route(is_resumable=True, **STREAM)
         first = {'chunks': (event(1), 0.9, event(2), 0.9, event(3), LOST)}
@@ -467,10 +468,12 @@
         assert second_wanted.start_by_s > 3.0
         assert second_wanted.target_at_s == second_wanted.start_by_s
 
-    def test_a_caller_that_leaves_ends_the_run(self):
+    def test_a_caller_that_disconnects_cancels_the_call(self):
         async def main():
             scene = Scene({'chunks': (event(1), 60.0, event(2))})
-            task = asyncio.create_task(scene.carry(route(**STREAM), model='m'))
+            task = asyncio.create_task(
+                scene.forward(route(**STREAM), model='m')
+            )
             await asyncio.sleep(1.0)
             assert scene.client.open_count == 1
             task.cancel()
@@ -479,15 +482,18 @@
 
         assert virtual_time.run(main()) == (0, 0)
 
-    def test_a_caller_that_leaves_is_told_of_in_the_log(self):
-        """Nobody can say where a request was when its caller gave up.
+    def test_a_caller_that_disconnects_is_logged(self):
+        """Guards against requests whose server cannot be found in the log.
 
-        Its last line names no server, since it was never answered.
+        A request that is never answered would have no line that names its
+        server.
         """
 
         async def main():
             scene = Scene({'chunks': (event(1), 60.0, event(2))})
-            task = asyncio.create_task(scene.carry(route(**STREAM), model='m'))
+            task = asyncio.create_task(
+                scene.forward(route(**STREAM), model='m')
+            )
             await asyncio.sleep(1.0)
             task.cancel()
             await asyncio.wait([task])
@@ -503,12 +509,12 @@
 
 
 CUT = backend_call.AnswerLostError('reset')
-SILENT = backend_call.AnswerLostError('silent', is_silence=True)
+TIMED_OUT = backend_call.AnswerLostError('timeout', is_timeout=True)
 REFUSED = backend_call.NotSentError('refused', is_refused=True)
 
 
 class TestCrashes:
-    """Backend servers that end as they begin to run a request."""
+    """Backend servers that crash as they begin to run a request."""
 
     def record(self, scene, count):
         for number in range(count):
@@ -520,12 +526,12 @@
         return request_fingerprint.of('POST', '/x?y=1', '', b'')
 
     def servers(self, *steps, found_route=ONCE, **fields):
-        """Return which servers count as crashed under the request."""
+        """Return the servers whose crash counts for the request."""
 
         async def main():
             scene = Scene(*steps)
             with pytest.raises(errors.RefusalError):
-                await scene.carry(found_route, **fields)
+                await scene.forward(found_route, **fields)
             for name in SERVERS:
                 scene.suspects.detector.record_exit(server(name))
             return scene.suspects.record.crashed_servers(self.fingerprint())
@@ -533,66 +539,66 @@
         return virtual_time.run(main())
 
     @pytest.mark.parametrize('error', [CUT, backend_call.StaleConnectionError])
-    def test_a_cut_before_an_answer_is_a_sign_of_one(self, error):
+    def test_a_disconnect_before_an_answer_counts(self, error):
         if isinstance(error, type):
             error = error('closed')
         assert len(self.servers(error)) == 1
 
-    @pytest.mark.parametrize('error', [SILENT, NOT_RUN, NOT_SENT])
-    def test_other_failures_are_not(self, error):
-        """Guards against refusing what met a slow or full server."""
+    @pytest.mark.parametrize('error', [TIMED_OUT, NOT_RUN, NOT_SENT])
+    def test_other_failures_do_not_count(self, error):
+        """Guards against refusing requests to slow or full servers."""
         assert self.servers(error, error, error) == ()
 
-    def test_a_stream_that_ran_for_a_while_is_not_to_blame(self):
-        """Guards against refusing what a crash cut by chance."""
+    def test_a_stream_that_ran_for_a_while_does_not_count(self):
+        """Guards against refusing a request that was running by chance."""
         steps = {'chunks': (event(1), 0.6, CUT)}
         found = route(**STREAM)
         assert self.servers(steps, found_route=found, model='m') == ()
 
-    def test_a_stream_that_hardly_ran_may_be(self):
+    def test_a_stream_that_has_just_begun_counts(self):
         steps = {'chunks': (event(1), 0.1, CUT)}
         found = route(**STREAM)
         assert len(self.servers(steps, found_route=found, model='m')) == 1
 
-    def test_an_answer_elsewhere_clears_it(self):
-        """Guards against refusing what was there by chance."""
+    def test_an_answer_of_another_server_makes_crashes_void(self):
+        """Guards against refusing a request that was running by chance."""
 
         async def main():
             scene = Scene({})
             self.record(scene, 2)
-            await scene.carry(SAFE)
+            await scene.forward(SAFE)
             return scene
 
         scene = virtual_time.run(main())
         assert scene.suspects.record.crashed_servers(self.fingerprint()) == ()
 
-    def test_a_server_that_takes_no_connection_has_ended(self):
+    def test_a_server_that_refuses_connections_has_ended(self):
         async def main():
             scene = Scene(REFUSED, REFUSED, REFUSED)
             with pytest.raises(errors.RefusalError):
-                await scene.carry(ONCE)
+                await scene.forward(ONCE)
             for name in SERVERS:
                 scene.suspects.detector.record_disconnect('f', server(name))
             return scene.suspects.record.crashed_servers('f')
 
         assert len(virtual_time.run(main())) == 3
 
-    def test_what_crashed_three_servers_is_sent_to_none(self):
-        """Guards against a request that ends server after server."""
+    def test_a_request_that_crashed_three_servers_is_not_sent(self):
+        """Guards against a request that crashes server after server."""
 
         async def main():
             scene = Scene()
             self.record(scene, 3)
             with pytest.raises(errors.RefusalError) as raised:
-                await scene.carry(SAFE)
+                await scene.forward(SAFE)
             return scene, raised.value
 
         scene, refusal = virtual_time.run(main())
         assert refusal.kind is errors.ErrorKind.CRASHES_BACKEND_SERVERS
         assert scene.client.calls == []
 
-    def test_a_refusal_after_its_own_run_promises_nothing(self):
-        """Guards against saying that a request has not run, though it has."""
+    def test_a_refusal_after_an_attempt_leaves_the_outcome_unknown(self):
+        """Guards against reporting that a request that ran has not run."""
 
         async def main():
             scene = Scene(CUT)
@@ -601,7 +607,7 @@
             scene.suspects.detector.record_exit(server('b'))
             scene.suspects.detector.record_exit(server('c'))
             with pytest.raises(errors.RefusalError) as raised:
-                await scene.carry(SAFE)
+                await scene.forward(SAFE)
             return scene, raised.value
 
         scene, refusal = virtual_time.run(main())
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections of callers that never send a request."""
+"""Detection of callers' connections that never send a request."""
 
 import pytest
 
@@ -17,11 +17,11 @@
 
 
 class TestOverdue:
-    def test_one_that_says_nothing(self, connections, clock):
-        """An entry takes no connection any more, and looks well.
+    def test_a_connection_without_a_request(self, connections, clock):
+        """Guards against an entry that accepts no more connections.
 
-        Callers open connections and send nothing on them, until there is
-        no descriptor left.
+        Callers open connections and send nothing on them, until no file
+        descriptor is left.
         """
         assert connections.overdue(['a'], 15.0) == []
         clock.now_s = 10.0
@@ -29,14 +29,16 @@
         clock.now_s = 16.0
         assert connections.overdue(['a', 'b'], 15.0) == ['a']
 
-    def test_one_that_was_used_is_left_alone(self, connections, clock):
+    def test_a_connection_that_was_used_is_not_overdue(
+        self, connections, clock
+    ):
         connections.overdue(['a'], 15.0)
         connections.record_request('a')
         clock.now_s = 60.0
         assert connections.overdue(['a'], 15.0) == []
 
-    def test_one_that_is_closed_is_forgotten(self, connections, clock):
-        """A new connection is closed at once for an old one's silence."""
+    def test_a_closed_connection_is_forgotten(self, connections, clock):
+        """Guards against closing a new connection for the age of an old."""
         connections.overdue(['a', 'b'], 15.0)
         connections.record_request('b')
         connections.overdue([], 15.0)
