--- a/lacewingpitch/configuration_exchange.py
+++ b/lacewingpitch/configuration_exchange.py
@@ -1,4 +1,4 @@
-"""How processes that the store turns away learn the configuration."""
+"""Exchange of the newest configuration between entries and sidecars."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,43 +11,45 @@
 from lacewingpitch import grant
 from lacewingpitch import routing
 
-_TIMEOUT_S = 1.0
-# A peer reads the store itself within a second where it can.
-_OFFER_AFTER_S = 1.0
+_REQUEST_TIMEOUT_S = 1.0
+# A peer that can read the store gets the newer version from there within a
+# second, so that an offer is not needed.
+_OFFER_DELAY_S = 1.0
 _MAX_PEERS = 2048
 log = structlog.get_logger(__name__)
 
 
 class PeerLink(Protocol):
-    """Messages about the configuration to one other process."""
+    """Sends messages about the configuration to sidecars."""
 
     async def ask_configuration(
         self, ip: str, message: grant.ConfigurationRequest, timeout_s: float
     ) -> grant.ConfigurationReply:
-        """Ask for a newer configuration."""
+        """Request a newer configuration."""
         ...
 
     async def offer_configuration(
         self, ip: str, message: grant.ConfigurationOffer, timeout_s: float
     ) -> None:
-        """Bring a newer configuration."""
+        """Send a newer configuration."""
         ...
 
 
 class ConfigurationExchange:
-    """Keeps the configuration of entries and sidecars equal.
+    """Keeps the configuration of entries and sidecars at the same version.
 
-    Failure it answers: the store serves some instances and turns others
-    away.  An entry that is turned away would refuse routes that are in
-    force everywhere else.  Every reply of a sidecar says its version, so
-    that finding out costs no message of its own.
+    The store may serve some instances and refuse others.  Without this,
+    an entry that the store refuses would reject routes that are in force
+    everywhere else.  Every reply of a sidecar states its version, so that
+    comparing versions needs no message of its own.
 
     Parameters
     ----------
     link
-        Way to the sidecars; a sidecar itself asks nobody.
+        Connection to the sidecars; ``None`` at a sidecar, which only
+        answers.
     decode
-        Reads published bytes; raises `errors.PlatformError`.
+        Decodes a published configuration; raises `errors.PlatformError`.
     """
 
     def __init__(
@@ -75,23 +77,32 @@
         return self._table.version
 
     def reconcile(self, ip: str, version: int) -> None:
-        """Take note of the version that a sidecar has in force."""
+        """Compare versions with a sidecar; fetch or offer the newer one.
+
+        The exchange runs in the background, one per sidecar at a time.
+        """
         if version == self._table.version:
             self._offer_at_s.pop(ip, None)
             return
         if ip in self._tasks:
             return
         if version > self._table.version:
-            self._begin(ip, self._fetch(ip))
-        elif self._is_overdue(ip):
-            self._begin(ip, self._offer(ip))
+            self._start(ip, self._fetch(ip))
+        elif self._is_offer_due(ip):
+            self._start(ip, self._offer(ip))
 
     def record_store_state(self, is_away: bool) -> None:
-        """Take note whether the store could be read."""
+        """Record whether the last read of the store failed."""
         self._table.is_away = is_away
 
     def apply(self, content: bytes, source: str) -> int:
-        """Put published bytes in force if newer; return their version."""
+        """Apply a published configuration if newer; return its version.
+
+        Raises
+        ------
+        PlatformError
+            It cannot be decoded.
+        """
         configuration = self._decode(content)
         before = self._table.version
         if not self._table.apply(configuration):
@@ -108,7 +119,7 @@
     async def answer(
         self, message: grant.ConfigurationRequest
     ) -> grant.ConfigurationReply:
-        """Answer what an entry asks."""
+        """Return the configuration if it is newer than that of an entry."""
         configuration = self._table.configuration
         if configuration is None:
             return grant.ConfigurationReply()
@@ -119,22 +130,22 @@
     async def accept(
         self, message: grant.ConfigurationOffer
     ) -> grant.ConfigurationTaken:
-        """Take what an entry brings."""
+        """Apply the configuration that an entry offers."""
         self.apply(message.content, source='entry')
         return grant.ConfigurationTaken()
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the exchanges in progress."""
         for task in self._tasks.values():
             task.cancel()
 
-    def _is_overdue(self, ip: str) -> bool:
+    def _is_offer_due(self, ip: str) -> bool:
         now_s = self._clock.monotonic_s()
         if len(self._offer_at_s) > _MAX_PEERS:
             self._offer_at_s.clear()
-        return now_s >= self._offer_at_s.setdefault(ip, now_s + _OFFER_AFTER_S)
+        return now_s >= self._offer_at_s.setdefault(ip, now_s + _OFFER_DELAY_S)
 
-    def _begin(self, ip: str, work: Coroutine[Any, Any, None]) -> None:
+    def _start(self, ip: str, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks[ip] = task
         task.add_done_callback(lambda _: self._tasks.pop(ip, None))
@@ -143,7 +154,9 @@
         assert self._link is not None
         message = grant.ConfigurationRequest(above_version=self._table.version)
         try:
-            reply = await self._link.ask_configuration(ip, message, _TIMEOUT_S)
+            reply = await self._link.ask_configuration(
+                ip, message, _REQUEST_TIMEOUT_S
+            )
             if reply.content:
                 self.apply(reply.content, source=ip)
         except (errors.LinkError, errors.PlatformError) as error:
@@ -157,6 +170,8 @@
         assert self._link is not None
         message = grant.ConfigurationOffer(content=configuration.content)
         try:
-            await self._link.offer_configuration(ip, message, _TIMEOUT_S)
+            await self._link.offer_configuration(
+                ip, message, _REQUEST_TIMEOUT_S
+            )
         except errors.LinkError as error:
             log.info('configuration not offered', ip=ip, error=str(error))
--- a/lacewingpitch/peer_bootstrap.py
+++ b/lacewingpitch/peer_bootstrap.py
@@ -1,4 +1,4 @@
-"""What a process that starts learns from others while the store is away."""
+"""Bootstrap of a starting process from its peers while the store is down."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,40 +17,40 @@
 from lacewingpitch import link as link_module
 from lacewingpitch import settings
 
-# A store that works gives all that is published within this time of the
-# start, and is asked alone for so long.
-_STORE_FIRST_S = 0.3
-# A process that has the answer gives it at once, unless its core is busy.
-_TIMEOUT_S = 0.5
-# All peers are down, or know nothing either: the store is tried by others
-# meanwhile, so that asking more often finds nothing sooner.
-_PAUSE_S = 0.5
+# For this time after the start, only the store is asked: a working store
+# delivers everything that is published within it.
+_STORE_ONLY_S = 0.3
+# A peer answers at once, unless its CPU core is busy.
+_REQUEST_TIMEOUT_S = 0.5
+# All peers are down or have no state either.  They retry the store meanwhile,
+# so a shorter interval would not bring the state any sooner.
+_RETRY_INTERVAL_S = 0.5
 log = structlog.get_logger(__name__)
 
 
 class StateRequest(link_module.Message, frozen=True):
-    """Asks for all that is published."""
+    """Request for everything that is published."""
 
 
 class StateReply(link_module.Message, frozen=True):
-    """All that is published, as far as the sender knows.
+    """Everything that is published, as far as the sender knows.
 
     Parameters
     ----------
     is_known
         Whether the sender has a configuration and a list at all.
     configuration
-        Published bytes of the configuration.
+        Configuration, in its published encoding.
     versions
-        Adapter versions that were published.
+        Published adapter versions.
     servers
-        Backend servers, without the adapters that they hold: at the
-        target's size these are nine tenths of the list, and the replies
-        of sidecars tell them anew.
+        Backend servers, without the adapters that they hold.  In a
+        deployment of the target size the adapters are nine tenths of the
+        list, and the replies of sidecars report them again.
     list_age_s
-        How long ago the list was known to be current.
+        Seconds since the list was last known to be current.
     configuration_age_s
-        How long ago the configuration was known to be the newest.
+        Seconds since the configuration was last known to be the newest.
     """
 
     is_known: bool = False
@@ -62,7 +62,7 @@
 
 
 class StateLink(Protocol):
-    """Messages to other processes, by their address."""
+    """Sends state requests to other processes."""
 
     async def ask_state(
         self,
@@ -70,29 +70,36 @@
         message: StateRequest,
         timeout_s: float,
     ) -> StateReply:
-        """Ask what a process knows."""
+        """Request the state of the process at an address.
+
+        Raises
+        ------
+        LinkError
+            There is no usable reply within `timeout_s`.
+        """
         ...
 
 
 class PeerBootstrap:
-    """Brings up a process that starts while the store is away.
+    """Gets the published state from a peer when a process starts.
 
-    Failure it answers: a process restarts, or is added, as the store is
-    down or turns it away.  It would refuse every request until the store
-    is back, while the others serve on with what they know.
+    A process may restart, or be added, while the store is down or refuses
+    its requests.  Without this, it would refuse every request until the
+    store recovers, while the other processes continue to serve with the
+    state that they have.
 
-    A store that may have come back from a copy lacks what was accepted
-    after that.  A process that starts on it learns that from a peer.
+    A store that was restored from a backup lacks writes that it accepted
+    after the backup.  A process that starts then gets these from a peer.
 
-    It is asked for at the start only, of three peers at most, so that its
-    messages do not grow with the number of instances.
+    State is requested only at the start, and from three peers at most, so
+    that the number of messages does not grow with that of instances.
 
     Parameters
     ----------
     peers
-        Control addresses of other processes, some perhaps down.
-    may_be_copy
-        Whether what the store holds may lack what was accepted.
+        Control addresses of other processes; some may be down.
+    may_be_restored
+        Returns whether the store may lack writes that it has accepted.
     """
 
     def __init__(
@@ -104,10 +111,10 @@
         exchange: configuration_exchange.ConfigurationExchange,
         age: configuration_age.ConfigurationAge,
         clock: clock_module.Clock,
-        may_be_copy: Callable[[], bool] = lambda: False,
+        may_be_restored: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._may_be_copy = may_be_copy
-        self._has_reply = False
+        self._may_be_restored = may_be_restored
+        self._has_applied_reply = False
         self._age = age
         self._clock = clock
         self._link = link
@@ -117,7 +124,7 @@
         self._exchange = exchange
 
     async def answer(self, _message: StateRequest) -> StateReply:
-        """Answer a process that starts."""
+        """Return the state of this process to a starting one."""
         configuration = self._exchange.configuration
         if configuration is None or not self._servers.is_known:
             return StateReply()
@@ -134,68 +141,68 @@
         )
 
     async def run(self) -> None:
-        """Ask the peers until this process knows what is published."""
+        """Request state from the peers until this process has it."""
         if not self._peers:
             return
-        await asyncio.sleep(_STORE_FIRST_S)
+        await asyncio.sleep(_STORE_ONLY_S)
         while not self._servers.is_known:
             for peer in self._peers:
                 if self._servers.is_known:
                     break
-                await self._ask(peer)
+                await self._request_state(peer)
             else:
-                await asyncio.sleep(_PAUSE_S)
-        if not self._may_be_copy():
+                await asyncio.sleep(_RETRY_INTERVAL_S)
+        if not self._may_be_restored():
             return
         for peer in self._peers:
-            if not self._has_reply:
-                await self._ask(peer)
+            if not self._has_applied_reply:
+                await self._request_state(peer)
 
-    async def _ask(self, peer: settings.Address) -> None:
-        asked_at_s = self._clock.boot_s()
+    async def _request_state(self, peer: settings.Address) -> None:
+        requested_at_s = self._clock.boot_s()
         try:
             reply = await self._link.ask_state(
-                peer, StateRequest(), _TIMEOUT_S
+                peer, StateRequest(), _REQUEST_TIMEOUT_S
             )
         except errors.LinkError as error:
-            log.info('state not fetched', peer=peer.ip, error=str(error))
+            log.info('peer state not fetched', peer=peer.ip, error=str(error))
             return
         if not reply.is_known:
             return
-        # The store may have answered while the peer did, and knows more.
+        # The store may have answered in the meantime; it is more recent.
         if not self._servers.is_known:
-            self._take(reply, peer, asked_at_s)
-        elif self._may_be_copy():
-            self._take_published(reply, peer)
+            self._apply(reply, peer, requested_at_s)
+        elif self._may_be_restored():
+            self._apply_published(reply, peer)
 
-    def _take(
-        self, reply: StateReply, peer: settings.Address, asked_at_s: float
+    def _apply(
+        self, reply: StateReply, peer: settings.Address, requested_at_s: float
     ) -> None:
-        if not self._take_published(reply, peer):
+        if not self._apply_published(reply, peer):
             return
-        # The peer's age is as of its answer, which came later than the
-        # question was sent.
-        self._age.confirm(asked_at_s - reply.configuration_age_s)
-        # A route that the peer does not know may be in force.
+        # The peer reports the age at the time of its reply, which is later
+        # than that of the request; this rounds the age up.
+        self._age.confirm(requested_at_s - reply.configuration_age_s)
+        # Routes unknown to the peer may be in force.
         self._exchange.record_store_state(is_away=True)
         self._servers.adopt(reply.servers, reply.list_age_s)
         log.info(
-            'state taken over',
+            'peer state applied',
             peer=peer.ip,
             backend_servers=len(reply.servers),
             list_age_s=round(reply.list_age_s, 1),
         )
 
-    def _take_published(
+    def _apply_published(
         self, reply: StateReply, peer: settings.Address
     ) -> bool:
-        """Put in force what operators published; return whether it is."""
+        """Apply what operators published; return whether it was valid."""
         try:
             self._exchange.apply(reply.configuration, source=peer.ip)
         except errors.PlatformError as error:
-            log.error('state rejected', peer=peer.ip, error=str(error))
+            log.error('peer state rejected', peer=peer.ip, error=str(error))
             return False
         for found in reply.versions:
             self._versions.note(found.model, found.adapter, found.version)
-        self._has_reply = True
+        self._has_applied_reply = True
         return True
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -1,4 +1,4 @@
-"""How the configuration reaches a process that the store turns away."""
+"""Exchange of the configuration with a process that the store refuses."""
 
 import asyncio
 import random
@@ -17,15 +17,15 @@
 
 
 class FakeLink:
-    """One sidecar with a version, reached or not."""
+    """One sidecar with a version; unreachable if `content` is ``None``."""
 
     def __init__(self, content):
         self.content = content
         self.offered = []
-        self.asked_count = 0
+        self.request_count = 0
 
     async def ask_configuration(self, ip, message, timeout_s):
-        self.asked_count += 1
+        self.request_count += 1
         if self.content is None:
             raise errors.NoReplyError(ip)
         return grant.ConfigurationReply(content=self.content)
@@ -34,7 +34,7 @@
         self.offered.append(message.content)
 
 
-def play(own, peer, *, notes=1, interval_s=0.5):
+def play(own, peer, *, calls=1, interval_s=0.5):
     async def main():
         link = FakeLink(peer)
         table = routing.RoutingTable(random.Random(1))
@@ -43,7 +43,7 @@
         )
         if own:
             exchange.apply(own, 'store')
-        for _ in range(notes):
+        for _ in range(calls):
             exchange.reconcile('10.0.0.1', int(peer or 9))
             await asyncio.sleep(interval_s)
         return link, table
@@ -51,33 +51,33 @@
     return virtual_time.run(main())
 
 
-class TestNote:
+class TestReconcile:
     def test_a_newer_version_is_fetched(self):
-        """An entry refuses routes that are in force everywhere else.
+        """Guards against an entry that refuses routes in force elsewhere.
 
-        The store turns it away and serves the other instances.
+        The store refuses this entry and serves the other instances.
         """
         _, table = play(b'3', b'5')
         assert table.version == 5
 
-    def test_an_equal_one_costs_no_message(self):
-        link, _ = play(b'5', b'5', notes=20)
-        assert link.asked_count == 0
+    def test_an_equal_version_needs_no_message(self):
+        link, _ = play(b'5', b'5', calls=20)
+        assert link.request_count == 0
         assert link.offered == []
 
-    def test_an_older_one_is_brought_ours_after_a_while(self):
+    def test_an_older_peer_is_offered_our_version_after_a_delay(self):
         link, _ = play(b'5', b'3')
         assert link.offered == []
-        link, _ = play(b'5', b'3', notes=4)
+        link, _ = play(b'5', b'3', calls=4)
         assert link.offered == [b'5']
 
-    def test_a_lost_peer_changes_nothing(self):
+    def test_an_unreachable_peer_changes_nothing(self):
         _, table = play(b'3', None)
         assert table.version == 3
 
 
 class TestAnswer:
-    def test_only_what_is_newer(self):
+    def test_returns_only_a_newer_configuration(self):
         async def main():
             table = routing.RoutingTable(random.Random(1))
             exchange = configuration_exchange.ConfigurationExchange(
--- a/tests/test_peer_bootstrap.py
+++ b/tests/test_peer_bootstrap.py
@@ -1,4 +1,4 @@
-"""What an entry that starts learns from others, in virtual time."""
+"""Bootstrap of a starting entry from its peers, in virtual time."""
 
 import asyncio
 import random
@@ -29,11 +29,11 @@
 
 
 class Entry:
-    """What one entry knows, and how it shares it."""
+    """The published state of one entry, and its exchange with peers."""
 
     def __init__(self, link=None, peers=()):
         clock = virtual_time.LoopClock()
-        self.is_copy = False
+        self.is_restored = False
         self.servers = backend_list.BackendList(clock)
         self.versions = adapter_versions.AdapterVersions()
         self.table = routing.RoutingTable(random.Random(1))
@@ -49,7 +49,7 @@
             self.exchange,
             self.age,
             clock,
-            lambda: self.is_copy,
+            lambda: self.is_restored,
         )
 
     def read_store(self, content=b'5'):
@@ -59,15 +59,15 @@
 
 
 class FakeLink:
-    """Entries by their address; those that are not here are down."""
+    """Entries by address; an address that is missing is down."""
 
     def __init__(self):
         self.entries = {}
-        self.asked = []
+        self.requested = []
 
     async def ask_state(self, entry, message, timeout_s):
         endpoint = f'{entry.ip}:{entry.port}'
-        self.asked.append(endpoint)
+        self.requested.append(endpoint)
         if endpoint not in self.entries:
             await asyncio.sleep(timeout_s)
             raise errors.NoReplyError(endpoint)
@@ -84,18 +84,18 @@
         self.starting = Entry(self.link, ADDRESSES)
 
 
-def play(story):
+def play(scenario):
     async def main():
-        await story(Scene())
+        await scenario(Scene())
 
     virtual_time.run(main())
 
 
 class TestPeerBootstrap:
-    def test_an_entry_serves_although_the_store_is_down(self):
-        """Guards against a restart that serves nobody without the store."""
+    def test_an_entry_gets_its_state_while_the_store_is_down(self):
+        """Guards against an entry that serves nothing after a restart."""
 
-        async def story(scene):
+        async def scenario(scene):
             scene.other.read_store()
             scene.other.versions.note('m', 'a', 4)
             scene.link.entries = {B: Entry(), C: scene.other}
@@ -107,48 +107,51 @@
             assert (found.name, found.adapters) == ('i-1', {})
             assert scene.starting.servers.age_s >= 20.0
 
-        play(story)
+        play(scenario)
 
-    def test_a_route_that_a_peer_does_not_know_is_not_denied(self):
-        """Guards against "not found" from the old state of a peer."""
+    def test_a_route_unknown_to_the_peer_may_be_retried(self):
+        """Guards against a final "not found" from a peer's old state."""
 
-        async def story(scene):
+        async def scenario(scene):
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
             await scene.starting.state.run()
             assert scene.starting.table.is_away
 
-        play(story)
+        play(scenario)
 
-    def test_a_store_that_works_is_enough(self):
-        async def story(scene):
+    def test_no_peer_is_asked_if_the_store_works(self):
+        async def scenario(scene):
             scene.starting.read_store()
             await scene.starting.state.run()
-            assert scene.link.asked == []
+            assert scene.link.requested == []
 
-        play(story)
+        play(scenario)
 
-    def test_a_store_that_may_be_a_copy_is_not(self):
-        """Guards against a restart that brings a lost version back."""
+    def test_a_peer_is_asked_if_the_store_may_be_restored(self):
+        """Guards against a restarted entry with an outdated configuration.
 
-        async def story(scene):
+        The store was restored from a backup and lacks the newest version.
+        """
+
+        async def scenario(scene):
             scene.other.read_store(b'6')
             scene.other.versions.note('m', 'a', 4)
             scene.link.entries = {B: scene.other}
-            scene.starting.is_copy = True
+            scene.starting.is_restored = True
             scene.starting.read_store(b'5')
             await scene.starting.state.run()
             assert scene.starting.table.version == 6
             assert scene.starting.versions.wanted('m', 'a') == 4
             assert not scene.starting.table.is_away
-            assert scene.link.asked == [A, B]
+            assert scene.link.requested == [A, B]
 
-        play(story)
+        play(scenario)
 
-    def test_the_store_goes_before_a_late_reply(self):
-        """Guards against a peer's old list that replaces the store's."""
+    def test_the_store_overrides_a_late_reply(self):
+        """Guards against a peer's old list replacing that of the store."""
 
-        async def story(scene):
+        async def scenario(scene):
             scene.other.read_store()
             scene.other.servers.put(
                 backend_list.BackendServer('gone', 'chat', 'x', 1, 'z')
@@ -161,23 +164,23 @@
             assert scene.starting.servers.get('gone') is None
             assert not scene.starting.table.is_away
 
-        play(story)
+        play(scenario)
 
-    def test_all_are_asked_until_one_knows(self):
-        async def story(scene):
+    def test_all_peers_are_asked_until_one_has_the_state(self):
+        async def scenario(scene):
             running = asyncio.create_task(scene.starting.state.run())
             await asyncio.sleep(10.0)
-            assert set(scene.link.asked) == {A, B, C}
-            assert len(scene.link.asked) < 20
+            assert set(scene.link.requested) == {A, B, C}
+            assert len(scene.link.requested) < 20
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
             async with asyncio.timeout(3.0):
                 await running
 
-        play(story)
+        play(scenario)
 
-    def test_what_cannot_be_read_is_not_taken(self):
-        async def story(scene):
+    def test_a_malformed_reply_is_not_applied(self):
+        async def scenario(scene):
             scene.other.read_store()
             scene.link.entries = {
                 A: peer_bootstrap.StateReply(
@@ -188,12 +191,12 @@
             await scene.starting.state.run()
             assert scene.starting.table.version == 5
 
-        play(story)
+        play(scenario)
 
-    def test_the_store_is_believed_once_it_is_back(self):
-        """Guards against a server kept that left while the store was away."""
+    def test_the_store_is_authoritative_once_it_recovers(self):
+        """Guards against keeping a server that left during the outage."""
 
-        async def story(scene):
+        async def scenario(scene):
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
             await scene.starting.state.run()
@@ -203,14 +206,14 @@
             await asyncio.sleep(3.0)
             assert not scene.starting.servers.serving('chat')
 
-        play(story)
+        play(scenario)
 
 
 class TestAge:
-    def test_a_configuration_is_as_old_as_the_peer_knows(self):
-        """Guards against a restart that makes an old configuration new."""
+    def test_the_age_of_the_configuration_is_that_of_the_peer(self):
+        """Guards against a restart that resets the configuration's age."""
 
-        async def story(scene):
+        async def scenario(scene):
             scene.other.read_store()
             scene.other.age.confirm(0.0)
             scene.link.entries = {A: scene.other}
@@ -219,4 +222,4 @@
             assert scene.starting.table.version == 5
             assert scene.starting.age.age_s >= 20.0
 
-        play(story)
+        play(scenario)
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -261,7 +261,7 @@
             await first.stop()
             await first.start()
             await platform.until(platform.is_ready)
-            assert first.events('state taken over')
+            assert first.events('peer state applied')
             async with platform.call(
                 '/chat/x', 'r-1', Model=f'{standin.MODEL}/a7'
             ) as response:
