--- a/lacewingpitch/control_client.py
+++ b/lacewingpitch/control_client.py
@@ -1,4 +1,4 @@
-"""Control messages of an entry to sidecars and to other entries."""
+"""Client of the control messages from an entry to its peers."""
 
 from lacewingpitch import errors
 from lacewingpitch import grant
@@ -9,12 +9,15 @@
 
 
 class ControlClient:
-    """The control links of an entry, one to each process it asks.
+    """Sends control messages to sidecars and to other entries.
+
+    All methods wait up to `timeout_s` for the reply, and raise
+    `errors.LinkError` if there is none that is usable.
 
     Parameters
     ----------
     sidecar_port
-        Control port, the same at every sidecar.
+        Control port; every sidecar uses the same.
     """
 
     def __init__(self, pool: link.PeerPool, sidecar_port: int) -> None:
@@ -24,13 +27,13 @@
     async def ask_turn(
         self, ip: str, request: grant.TurnRequest, timeout_s: float
     ) -> grant.TurnReply:
-        """Ask for a turn."""
+        """Request a turn from a sidecar."""
         return await self._sidecar(ip).ask(request, grant.TurnReply, timeout_s)
 
     async def end_turns(
         self, ip: str, message: grant.TurnEnds, timeout_s: float
     ) -> grant.TurnEndsReply:
-        """Say that turns have ended."""
+        """Report to a sidecar that turns have ended."""
         return await self._sidecar(ip).ask(
             message, grant.TurnEndsReply, timeout_s
         )
@@ -38,7 +41,7 @@
     async def ask_configuration(
         self, ip: str, message: grant.ConfigurationRequest, timeout_s: float
     ) -> grant.ConfigurationReply:
-        """Ask for a newer configuration."""
+        """Request a configuration newer than a version from a sidecar."""
         return await self._sidecar(ip).ask(
             message, grant.ConfigurationReply, timeout_s
         )
@@ -46,7 +49,7 @@
     async def offer_configuration(
         self, ip: str, message: grant.ConfigurationOffer, timeout_s: float
     ) -> None:
-        """Bring a newer configuration."""
+        """Send a newer configuration to a sidecar."""
         await self._sidecar(ip).ask(
             message, grant.ConfigurationTaken, timeout_s
         )
@@ -54,7 +57,7 @@
     async def ask_usage(
         self, ip: str, message: usage_lease.UsageAsk, timeout_s: float
     ) -> usage_lease.UsageReply:
-        """Ask for parts of limits."""
+        """Request leases on parts of usage limits from their owner."""
         return await self._sidecar(ip).ask(
             message, usage_lease.UsageReply, timeout_s
         )
@@ -65,7 +68,7 @@
         message: peer_bootstrap.StateRequest,
         timeout_s: float,
     ) -> peer_bootstrap.StateReply:
-        """Ask another entry what is published."""
+        """Request the published state from another entry."""
         return await self._peer(entry.ip, entry.port).ask(
             message, peer_bootstrap.StateReply, timeout_s
         )
--- a/lacewingpitch/session_pool.py
+++ b/lacewingpitch/session_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that are kept for the next request."""
+"""Pool of HTTP sessions with persistent connections to backend servers."""
 
 import collections
 from collections.abc import AsyncIterator, Callable
@@ -10,82 +10,85 @@
 from lacewingpitch import backend_call
 from lacewingpitch import backend_list
 
-# Twice the engines of the target; servers that are gone fall out of use.
-_MAX_SERVERS = 2048
+# Twice the number of engines in a deployment of the target size.  Sessions of
+# servers that are gone are evicted as the least recently used.
+_MAX_SESSIONS = 2048
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Kept:
+class _PooledSession:
     session: aiohttp.ClientSession
     in_use_count: int = 0
 
 
 class SessionPool:
-    """One session for each backend server, as long as it is well.
+    """One session for each backend server, until a response is incomplete.
 
-    A server that hands out wrong bytes may have left some on any of its
-    connections: a second answer that comes late lies where the next one is
-    due, that one then lies in the way of the one after it, and so on.  With
-    the first answer that is not whole, all connections to the server that
-    are idle are given up together.
+    A faulty server may have left unread bytes on any of its connections:
+    a duplicate response that arrives late is taken for the response to the
+    next request, whose own response is then taken for that of the one
+    after it, and so on.  After the first incomplete response, all idle
+    connections to the server are therefore discarded together.
 
     Parameters
     ----------
     new_session
-        Returns a session that keeps its connections.
+        Returns a session with persistent connections.
     """
 
     def __init__(
         self, new_session: Callable[[], aiohttp.ClientSession]
     ) -> None:
         self._new_session = new_session
-        self._kept: collections.OrderedDict[tuple[str, int], _Kept] = (
-            collections.OrderedDict()
-        )
-        # Given up, with requests in progress.
-        self._ending: set[_Kept] = set()
+        self._sessions: collections.OrderedDict[
+            tuple[str, int], _PooledSession
+        ] = collections.OrderedDict()
+        # Removed from the pool, but with requests in progress.
+        self._closing: set[_PooledSession] = set()
 
     @contextlib.asynccontextmanager
     async def use(
         self, server: backend_list.BackendServer
     ) -> AsyncIterator[aiohttp.ClientSession]:
-        """Use a server's connections for one request and its answer."""
+        """Yield the session of a server for one request and its response."""
         address = (server.ip, server.port)
-        kept = await self._of(address)
-        kept.in_use_count += 1
+        pooled = await self._session_for(address)
+        pooled.in_use_count += 1
         try:
-            yield kept.session
+            yield pooled.session
         except (
             backend_call.AnswerLostError,
             backend_call.StaleConnectionError,
         ):
-            if self._kept.get(address) is kept:
-                del self._kept[address]
-                self._ending.add(kept)
+            if self._sessions.get(address) is pooled:
+                del self._sessions[address]
+                self._closing.add(pooled)
             raise
         finally:
-            kept.in_use_count -= 1
-            if kept in self._ending and not kept.in_use_count:
-                self._ending.discard(kept)
-                await kept.session.close()
+            pooled.in_use_count -= 1
+            if pooled in self._closing and not pooled.in_use_count:
+                self._closing.discard(pooled)
+                await pooled.session.close()
 
     async def close(self) -> None:
-        """Close all connections."""
-        for kept in (*self._kept.values(), *self._ending):
-            await kept.session.close()
+        """Close all sessions, also those in use."""
+        for pooled in (*self._sessions.values(), *self._closing):
+            await pooled.session.close()
 
-    async def _of(self, address: tuple[str, int]) -> _Kept:
-        kept = self._kept.get(address)
-        if kept is None:
-            kept = self._kept[address] = _Kept(self._new_session())
-            if len(self._kept) > _MAX_SERVERS:
-                await self._drop_oldest()
-        self._kept.move_to_end(address)
-        return kept
+    async def _session_for(self, address: tuple[str, int]) -> _PooledSession:
+        pooled = self._sessions.get(address)
+        if pooled is None:
+            pooled = self._sessions[address] = _PooledSession(
+                self._new_session()
+            )
+            if len(self._sessions) > _MAX_SESSIONS:
+                await self._evict_least_recently_used()
+        self._sessions.move_to_end(address)
+        return pooled
 
-    async def _drop_oldest(self) -> None:
-        _, oldest = self._kept.popitem(last=False)
-        if oldest.in_use_count:
-            self._ending.add(oldest)
+    async def _evict_least_recently_used(self) -> None:
+        _, evicted = self._sessions.popitem(last=False)
+        if evicted.in_use_count:
+            self._closing.add(evicted)
         else:
-            await oldest.session.close()
+            await evicted.session.close()
--- a/tests/test_published_contracts.py
+++ b/tests/test_published_contracts.py
@@ -52,10 +52,10 @@
     async def test_down_service_leaves_contracts_in_force(
         self, service, reader, book
     ):
-        """Every caller is refused while the configuration service is down.
+        """Guards against refusing every caller during an outage.
 
-        Contracts were read, then the service goes down.  The cause would
-        be a reader that empties the book when it cannot read.
+        The contracts were read, then the configuration service goes down.
+        A failed read must not discard the contracts in force.
         """
         service.put_shards(a=[make_contract('ivy', 1)])
         await reader.read_once()
@@ -65,17 +65,17 @@
         assert book.authenticate('ivy').revision == 1
 
 
-class TestJumpBack:
+class TestRollback:
     @pytest.mark.proves(Promise.CONTRACTS, Fault.CONFIG_STALE, Step.ANY)
     async def test_old_state_reverts_nothing_and_hides_nothing(
         self, service, reader, book
     ):
-        """A revoked customer is served again, or a change never arrives.
+        """Guards against a revoked customer being served, or a lost change.
 
-        The service falls back to an old state with old revision numbers;
-        then a change is published under a number seen before.  The cause
-        would be a reader that trusts it, or that waits for a number
-        above the highest seen.
+        The service rolls back to an old state with lower revisions; then
+        a change is published under a revision that was used before.  The
+        reader must neither apply the old state nor wait for a revision
+        above the highest one read.
         """
         service.put_shards(a=[make_contract('ivy', 1)])
         old = dict(service.values), service.revision
@@ -93,11 +93,11 @@
     async def test_shard_that_lags_behind_its_index_is_read_again(
         self, service, reader, book
     ):
-        """A change is lost at one instance for good.
+        """Guards against a change that one instance never applies.
 
-        The index is read from a copy of the service that has the change,
-        the shard from one that does not have it yet.  The cause would be
-        to tick the shard off at the index' revision.
+        The index is read from a replica of the service that has the
+        change, the shard from one that lags.  The shard must not be
+        recorded as read at the revision of the index.
         """
         service.put('a', {'revision': 1, 'contracts': []})
         index = {'shards': [{'name': 'a', 'revision': 2}]}
@@ -112,7 +112,7 @@
 
 
 class TestBadValues:
-    async def test_missing_shard_holds_up_no_other(
+    async def test_missing_shard_does_not_block_the_others(
         self, service, reader, book
     ):
         service.put_shards(
@@ -120,14 +120,14 @@
         )
         kept = service.values.pop('a')
         await reader.read_once()
-        assert 'no value a' in reader.problems['a']
+        assert 'value a does not exist' in reader.problems['a']
         assert book.revision('moss') == 1
         service.values['a'] = kept
         await reader.watch_once(0)
         assert book.revision('ivy') == 1
         assert not reader.problems
 
-    async def test_shard_that_goes_missing_ends_nothing(
+    async def test_removed_shard_leaves_its_contracts_in_force(
         self, service, reader, book
     ):
         service.put_shards(a=[make_contract('ivy', 1)])
@@ -194,7 +194,7 @@
         await reader.read_once()
         assert book.revision('ivy') == 2
 
-    async def test_lower_revision_with_other_content_is_passed_over(
+    async def test_lower_revision_with_other_content_is_ignored(
         self, service, reader, book
     ):
         service.put_shards(a=[make_contract('ivy', 5)])
@@ -207,10 +207,10 @@
 
 class TestValueSize:
     async def test_value_of_many_chunks_is_read_whole(self, aiohttp_pair):
-        """Contracts beyond the first part of a large value never arrive.
+        """Guards against reading only the first part of a large value.
 
-        A shard comes in many network reads.  The cause would be to take
-        what one read returns for the whole value.
+        A shard arrives in many network reads; one read must not be taken
+        for the whole value.
         """
         content = msgspec.json.encode(['x' * 1000] * 900)
         found = await aiohttp_pair(content)
