--- a/lacewingpitch/configuration_exchange.py
+++ b/lacewingpitch/configuration_exchange.py
@@ -91,9 +91,9 @@
         elif self._is_offer_due(ip):
             self._start(ip, self._offer(ip))
 
-    def record_store_state(self, is_away: bool) -> None:
+    def record_store_state(self, is_unreachable: bool) -> None:
         """Record whether the last read of the store failed."""
-        self._table.is_away = is_away
+        self._table.is_away = is_unreachable
 
     def apply(self, content: bytes, source: str) -> int:
         """Apply a published configuration if newer; return its version.
--- a/lacewingpitch/peer_bootstrap.py
+++ b/lacewingpitch/peer_bootstrap.py
@@ -184,7 +184,7 @@
         # than that of the request; this rounds the age up.
         self._age.confirm(requested_at_s - reply.configuration_age_s)
         # Routes unknown to the peer may be in force.
-        self._exchange.record_store_state(is_away=True)
+        self._exchange.record_store_state(is_unreachable=True)
         self._servers.adopt(reply.servers, reply.list_age_s)
         log.info(
             'peer state applied',
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -366,8 +366,8 @@
         watcher = store_module.PrefixWatcher(
             store,
             store_updates.common_prefix(handlers),
-            pause_s=_PAUSE_RATIO * settings.news_within_s,
-            current_within_s=self._authenticator.confirm_within_s,
+            batch_delay_s=_PAUSE_RATIO * settings.news_within_s,
+            max_confirmation_age_s=self._authenticator.confirm_within_s,
             clock=self._process.clock,
             source=self._process.random,
         )
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -97,8 +97,8 @@
         watcher = store_module.PrefixWatcher(
             store,
             store_updates.common_prefix(handlers),
-            pause_s=0.0,
-            current_within_s=0.0,
+            batch_delay_s=0.0,
+            max_confirmation_age_s=0.0,
             clock=self._process.clock,
             source=self._process.random,
         )
--- a/lacewingpitch/platform/store_updates.py
+++ b/lacewingpitch/platform/store_updates.py
@@ -1,4 +1,4 @@
-"""What is published in the store, put in force in this process."""
+"""Handlers that apply changes of the store in this process."""
 
 from collections.abc import Callable, Sequence
 import os.path
@@ -15,48 +15,48 @@
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import wire
 
-# Entries whose rejection is remembered.
-_MAX_REJECTED = 1024
+# Entries for which the reason of the rejection is kept.
+_MAX_REJECTIONS = 1024
 log = structlog.get_logger(__name__)
 
 
 class UpdateHandler(Protocol):
-    """Takes what is new under one prefix."""
+    """Applies the changes under one prefix."""
 
     prefix: str
 
     def apply(self, change: store_module.Change) -> None:
-        """Take over a change."""
+        """Apply a change."""
         ...
 
 
 async def dispatch_changes(
     watcher: store_module.PrefixWatcher,
     handlers: Sequence[UpdateHandler],
-    is_enough: Callable[[], bool] = lambda: False,
+    is_done: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Hand on what is published, by prefix, until it is enough."""
+    """Pass each change to the handlers of its prefix until `is_done`."""
 
     def apply(change: store_module.Change) -> None:
         for handler in handlers:
-            handler.apply(change.under(handler.prefix))
+            handler.apply(change.restrict_to(handler.prefix))
 
     with watcher.changes.subscribe(apply):
-        await watcher.run(is_enough)
+        await watcher.run(is_done)
 
 
 def common_prefix(handlers: Sequence[UpdateHandler]) -> str:
-    """Return the prefix under which all news come by one watch.
+    """Return the longest prefix that covers the prefixes of all handlers.
 
-    The list of backend servers changes nearly all the time, so that a
-    watch of its own for the operator's values would add a third to the
-    calls.
+    One watch serves all handlers: the list of backend servers changes
+    almost constantly, and a separate watch for the operator's values would
+    add a third to the calls.
     """
     return os.path.commonprefix([handler.prefix for handler in handlers])
 
 
 class OperatorUpdates:
-    """Puts the operator's configuration and adapter versions in force."""
+    """Applies the operator's configuration and adapter versions."""
 
     prefix = names.OPERATOR_PREFIX
 
@@ -69,23 +69,24 @@
         self._versions = versions
         self._exchange = exchange
         self._age = age
-        # The newest configuration may take keys away, and cannot be read.
+        # Whether the newest configuration cannot be decoded.  It may revoke
+        # API keys.
         self._is_unreadable = False
-        # The version that the store holds.  One that came back from a copy
-        # holds less than is known, and proves nothing of what it lost.
+        # Version in the store.  A restored store may hold an older version
+        # than the one in force; it cannot confirm the newer one.
         self._stored_version = 0
 
     def apply(self, change: store_module.Change) -> None:
-        """Put a change in force."""
-        self._exchange.record_store_state(change.is_away)
+        """Apply a change, and confirm the configuration if it is newest."""
+        self._exchange.record_store_state(change.is_read_failure)
         if change.is_new_epoch:
             self._stored_version = 0
         for item in change.items:
             try:
-                self._take_item(item)
+                self._apply_item(item)
             except errors.PlatformError as error:
-                # One value that can't be read must not keep the others
-                # from being in force; what was in force before stays.
+                # One malformed value must not block the others, and the
+                # value in force before stays in force.
                 log.error('value rejected', key=item.key, error=str(error))
                 if item.key == names.CONFIGURATION_KEY:
                     self._is_unreadable = True
@@ -94,12 +95,12 @@
 
     @property
     def _is_newest(self) -> bool:
-        """Whether what the store holds is all that is known."""
+        """Whether the store holds the newest known configuration."""
         if self._is_unreadable:
             return False
         return self._stored_version >= self._exchange.version
 
-    def _take_item(self, item: store_module.Item) -> None:
+    def _apply_item(self, item: store_module.Item) -> None:
         if item.is_deleted:
             return
         if item.key == names.CONFIGURATION_KEY:
@@ -112,46 +113,46 @@
 
 
 class BackendUpdates:
-    """Follows the list of backend servers."""
+    """Applies changes of the list of backend servers."""
 
     prefix = names.BACKEND_SERVER_PREFIX
 
     def __init__(self, servers: backend_list.BackendList) -> None:
         self._servers = servers
-        # Why entries were rejected, so that each is told once and not with
-        # every change of it.
-        self._rejected: dict[str, str] = {}
+        # By key, so that a rejection is logged only once and not with every
+        # change of the entry.
+        self._rejection_reasons: dict[str, str] = {}
 
     def apply(self, change: store_module.Change) -> None:
-        """Take over a change of the list."""
-        if change.is_away:
-            self._servers.note_away(change.asked_at_s)
+        """Apply a change of the list, or record that it cannot be read."""
+        if change.is_read_failure:
+            self._servers.note_away(change.requested_at_s)
             return
         self._servers.note_read(is_new_epoch=change.is_new_epoch)
-        if change.is_whole:
+        if change.is_full_read:
             found = []
             for item in change.items:
-                server = self._decoded(item)
+                server = self._decode(item)
                 if server is None:
                     self._servers.reject(_name_of(item))
                 else:
                     found.append(server)
             self._servers.replace_all(found)
             return
-        # In the order in which they were made: a change that holds a
-        # server's last entry and then its end must not bring it back.
+        # In the order of the store: if a server was updated and then
+        # removed within one change, it must not be listed again.
         for item in change.items:
             if item.is_deleted:
                 self._servers.remove(_name_of(item))
                 continue
-            server = self._decoded(item)
+            server = self._decode(item)
             if server is None:
                 self._servers.reject(_name_of(item))
             else:
                 self._servers.put(server)
         self._servers.settle()
 
-    def _decoded(
+    def _decode(
         self, item: store_module.Item
     ) -> backend_list.BackendServer | None:
         try:
@@ -159,17 +160,17 @@
                 _name_of(item), item.value, item.created_revision
             )
         except errors.PlatformError as error:
-            self._reject(item.key, str(error))
+            self._log_rejection(item.key, str(error))
             return None
-        self._rejected.pop(item.key, None)
+        self._rejection_reasons.pop(item.key, None)
         return found
 
-    def _reject(self, key: str, reason: str) -> None:
-        if self._rejected.get(key) == reason:
+    def _log_rejection(self, key: str, reason: str) -> None:
+        if self._rejection_reasons.get(key) == reason:
             return
-        if len(self._rejected) >= _MAX_REJECTED:
-            self._rejected.clear()
-        self._rejected[key] = reason
+        if len(self._rejection_reasons) >= _MAX_REJECTIONS:
+            self._rejection_reasons.clear()
+        self._rejection_reasons[key] = reason
         log.error('entry rejected', key=key, error=reason)
 
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Reading the platform's store, over connections of its own kind."""
+"""Reads and watches of the platform's store over real connections."""
 
 import asyncio
 import contextlib
@@ -38,7 +38,7 @@
 
 class TestSlowLink:
     async def test_a_long_list_is_read_to_its_end(self):
-        """Guards against a long list given up on a slow link."""
+        """Guards against a timeout of a long list over a slow link."""
 
         async def answer(request):
             response = web.StreamResponse()
@@ -55,7 +55,7 @@
         assert revision == 7
         assert len(items) == 50
 
-    async def test_a_store_that_falls_silent_is_given_up_soon(self):
+    async def test_a_stalled_response_times_out_soon(self):
         async def answer(request):
             response = web.StreamResponse()
             await response.prepare(request)
@@ -68,11 +68,11 @@
                 await store.read_all('servers/')
 
 
-class TestProof:
-    """Up to when a follower says that nothing else has changed."""
+class TestConfirmation:
+    """The time up to which a watcher states that nothing has changed."""
 
-    async def follow(self, answers, current_within_s=2.0, stop_after=2):
-        """Return the changes told, and the times asked to wait."""
+    async def watch(self, answers, max_confirmation_age_s=2.0, stop_after=2):
+        """Return the emitted changes and the requested wait times."""
         waits_ms = []
         clock = clock_module.SystemClock()
 
@@ -88,7 +88,7 @@
         changes = []
         async with serving(answer) as store:
             watcher = store_module.PrefixWatcher(
-                store, '', 0.0, current_within_s, clock, random.Random(1)
+                store, '', 0.0, max_confirmation_age_s, clock, random.Random(1)
             )
             with watcher.changes.subscribe(
                 lambda change: changes.append((clock.boot_s(), change))
@@ -96,36 +96,36 @@
                 await watcher.run(lambda: len(changes) >= stop_after)
         return changes, waits_ms
 
-    async def test_is_of_when_the_store_was_asked(self):
-        """Guards against a proof that was under way for a while."""
+    async def test_with_changes_it_is_the_time_of_the_request(self):
+        """Guards against a confirmation that ignores a delayed response."""
         event = {'key': 'op/config', 'revision': 8}
-        changes, _ = await self.follow([(0.5, [event])])
-        told_s, change = changes[1]
-        assert told_s - change.current_at_s >= 0.5
+        changes, _ = await self.watch([(0.5, [event])])
+        received_at_s, change = changes[1]
+        assert received_at_s - change.current_at_s >= 0.5
 
-    async def test_of_a_watch_without_news_is_of_its_end(self):
-        changes, waits_ms = await self.follow([(0.4, [])], 0.4)
-        told_s, change = changes[1]
+    async def test_without_changes_it_is_the_end_of_the_watch(self):
+        changes, waits_ms = await self.watch([(0.4, [])], 0.4)
+        received_at_s, change = changes[1]
         assert waits_ms[0] <= 400
-        assert told_s - change.current_at_s < 0.2
+        assert received_at_s - change.current_at_s < 0.2
 
-    async def test_of_a_watch_that_ends_too_soon_is_of_its_begin(self):
-        changes, waits_ms = await self.follow([(0.3, [])])
-        told_s, change = changes[1]
+    async def test_of_a_watch_that_ends_early_it_is_its_start(self):
+        changes, waits_ms = await self.watch([(0.3, [])])
+        received_at_s, change = changes[1]
         assert waits_ms[0] > 1000
-        assert told_s - change.current_at_s >= 0.3
+        assert received_at_s - change.current_at_s >= 0.3
 
-    async def test_watches_are_as_short_as_its_age_asks(self):
+    async def test_watches_are_short_enough_for_the_maximum_age(self):
         event = {'key': 'servers/i-1', 'revision': 8}
-        _, waits_ms = await self.follow(
+        _, waits_ms = await self.watch(
             [(0.9, [event]), (0.0, [])], stop_after=3
         )
         assert waits_ms[0] > 1800
         assert 900 <= waits_ms[1] < 1150
 
-    async def test_watches_are_long_where_nobody_needs_it(self):
+    async def test_watches_are_long_without_a_maximum_age(self):
         event = {'key': 'servers/i-1', 'revision': 8}
-        _, waits_ms = await self.follow(
+        _, waits_ms = await self.watch(
             [(0.5, [event]), (0.0, [])], 0.0, stop_after=3
         )
         assert waits_ms == [1900, 1900]
--- a/tests/test_platform_store_updates.py
+++ b/tests/test_platform_store_updates.py
@@ -1,4 +1,4 @@
-"""What is published in the store, decoded and put in force."""
+"""Decoding and application of what is published in the store."""
 
 import json
 import math
@@ -31,7 +31,7 @@
     return item(f'servers/{name}', found)
 
 
-def end(name='i-1'):
+def deletion(name='i-1'):
     return item(f'servers/{name}', is_deleted=True)
 
 
@@ -50,26 +50,28 @@
 
 
 class TestBackendUpdates:
-    def test_a_server_that_ends_within_one_change_stays_gone(
+    def test_a_server_updated_and_removed_in_one_change_is_gone(
         self, updates, servers
     ):
-        """Guards against a server listed again by its own last entry."""
-        updates.apply(store.Change((entry(), entry('i-2')), is_whole=True))
+        """Guards against a removed server listed by its last entry."""
+        updates.apply(store.Change((entry(), entry('i-2')), is_full_read=True))
         updates.apply(
-            store.Change((entry('i-2'), entry(state='draining'), end()))
+            store.Change((entry('i-2'), entry(state='draining'), deletion()))
         )
         assert names(servers) == ['i-2']
         assert servers.get('i-1') is None
 
-    def test_one_that_comes_back_is_there(self, updates, servers):
-        updates.apply(store.Change((end(), entry()), is_whole=False))
+    def test_a_server_removed_and_added_in_one_change_is_listed(
+        self, updates, servers
+    ):
+        updates.apply(store.Change((deletion(), entry()), is_full_read=False))
         assert names(servers) == ['i-1']
 
-    def test_an_entry_that_cannot_be_read_leaves_the_others(
+    def test_a_malformed_entry_does_not_affect_the_others(
         self, updates, servers
     ):
         bad = item('servers/i-9', {'service': 3})
-        updates.apply(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_full_read=True))
         assert names(servers) == ['i-1']
 
     @pytest.mark.parametrize(
@@ -88,49 +90,55 @@
         ],
         ids=str,
     )
-    def test_an_entry_of_another_writer_names_no_engine(
+    def test_an_entry_with_an_invalid_field_is_ignored(
         self, updates, servers, change
     ):
-        """Guards against requests sent to what is no engine."""
+        """Guards against requests to something that is not an engine.
+
+        Other writers can write under the same prefix of the store.
+        """
         found = standin.Engine('i-9').entry('10.0.0.9:8080') | change
         bad = item('servers/i-9', found)
-        updates.apply(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_full_read=True))
         assert names(servers) == ['i-1']
         updates.apply(store.Change((bad,)))
         assert names(servers) == ['i-1']
 
     @pytest.mark.parametrize('field', ['service', 'address', 'zone', 'state'])
-    def test_an_entry_without_a_field_names_no_engine(
+    def test_an_entry_without_a_required_field_is_ignored(
         self, updates, servers, field
     ):
         found = standin.Engine('i-9').entry('10.0.0.9:8080')
         del found[field]
         bad = item('servers/i-9', found)
-        updates.apply(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_full_read=True))
         assert names(servers) == ['i-1']
 
     @pytest.mark.parametrize('content', [b'', b'\xff\xfe\x00', b'[', b'null'])
-    def test_bytes_that_cannot_be_read_leave_the_others(
+    def test_invalid_json_does_not_affect_the_others(
         self, updates, servers, content
     ):
         bad = store.Item(key='servers/i-9', value=content, revision=8)
-        updates.apply(store.Change((bad, entry()), is_whole=True))
+        updates.apply(store.Change((bad, entry()), is_full_read=True))
         assert names(servers) == ['i-1']
 
-    def test_an_entry_that_is_overwritten_names_no_engine_any_more(
+    def test_an_entry_overwritten_with_invalid_data_is_dropped(
         self, updates, servers
     ):
         """Guards against an engine used after its entry was overwritten."""
         other = standin.Engine('i-2').entry('10.0.0.8:8080')
         other = item('servers/i-2', other)
-        updates.apply(store.Change((entry(), other), is_whole=True))
+        updates.apply(store.Change((entry(), other), is_full_read=True))
         updates.apply(store.Change((item('servers/i-1', {'service': 3}),)))
         assert names(servers) == ['i-2']
         updates.apply(store.Change((entry(),)))
         assert sorted(names(servers)) == ['i-1', 'i-2']
 
-    def test_a_service_that_nobody_named_takes_no_address(self, updates):
-        """Guards against another writer that hides an engine."""
+    def test_an_entry_of_an_unknown_service_takes_no_address(self, updates):
+        """Guards against an entry of another writer that hides an engine.
+
+        It has the engine's address, and was created later.
+        """
         servers = backend_list.BackendList(
             clocks.ManualClock(), lambda name: name == standin.SERVICE
         )
@@ -141,32 +149,32 @@
                     entry(),
                     item('servers/i-9', stranger, created_revision=99),
                 ),
-                is_whole=True,
+                is_full_read=True,
             )
         )
         assert names(servers) == ['i-1']
 
     def test_a_rejected_entry_is_logged_once(self, updates):
-        """Guards against a log filled by one bad entry."""
+        """Guards against a log filled by one malformed entry."""
         with structlog.testing.capture_logs() as lines:
             for _ in range(5):
                 bad = item('servers/i-9', {'service': 3})
                 updates.apply(store.Change((bad,)))
         assert [line['event'] for line in lines] == ['entry rejected']
 
-    def test_decodes_when_an_engine_started(self, updates, servers):
+    def test_decodes_the_start_time_of_an_engine(self, updates, servers):
         found = standin.Engine('i-1').entry('10.0.0.7:8080')
         found['born'] = 1_800_000_000_123
         updates.apply(
-            store.Change((item('servers/i-1', found),), is_whole=True)
+            store.Change((item('servers/i-1', found),), is_full_read=True)
         )
         assert servers.get('i-1').started_at_ms == 1_800_000_000_123
 
-    def test_decodes_what_an_engine_holds(self, updates, servers):
+    def test_decodes_the_adapters_of_an_engine(self, updates, servers):
         engine = standin.Engine('i-1')
         engine.adapters = {'a7': 3}
         found = item('servers/i-1', engine.entry('10.0.0.7:8080'))
-        updates.apply(store.Change((found,), is_whole=True))
+        updates.apply(store.Change((found,), is_full_read=True))
         server = servers.get('i-1')
         assert server.adapters == {f'{standin.MODEL}/a7': 3}
         assert (server.ip, server.port) == ('10.0.0.7', 8080)
@@ -195,14 +203,14 @@
         updates.apply(self.change(7.0))
         assert self.age.age_s == 2.0
 
-    def test_a_store_that_is_away_confirms_nothing(self):
+    def test_a_failed_read_confirms_nothing(self):
         updates, _, _ = self.scene()
         updates.apply(self.change(4.0))
-        updates.apply(store.Change(is_away=True))
+        updates.apply(store.Change(is_read_failure=True))
         assert self.age.age_s == 5.0
 
-    def test_one_that_cannot_be_read_is_not_confirmed(self):
-        """Guards against keys that only an unreadable version takes away."""
+    def test_a_malformed_configuration_is_not_confirmed(self):
+        """Guards against accepting keys that a malformed version revokes."""
         updates, _, _ = self.scene()
         updates.apply(self.change(4.0, item('op/config', {'version': 'x'})))
         updates.apply(self.change(7.0))
@@ -211,7 +219,7 @@
         updates.apply(self.change(8.0, item('op/config', config)))
         assert self.age.age_s == 1.0
 
-    def test_puts_configuration_and_versions_in_force(self):
+    def test_applies_configuration_and_versions(self):
         updates, table, versions = self.scene()
         version = {'model': 'm', 'adapter': 'a', 'version': 4}
         updates.apply(
@@ -220,7 +228,7 @@
                     item('op/config', standin.configuration(5)),
                     item('op/version/m.a', version),
                 ),
-                is_whole=True,
+                is_full_read=True,
             )
         )
         assert table.version == 5
@@ -232,7 +240,7 @@
         assert (limits.max_running, limits.adapter_slots) == (8, 4)
         assert limits.models == (standin.MODEL,)
 
-    def test_one_value_that_cannot_be_read_leaves_the_others(self):
+    def test_malformed_values_are_ignored(self):
         updates, table, versions = self.scene()
         updates.apply(
             store.Change(
@@ -245,9 +253,9 @@
         )
         assert table.version == 0
 
-    def test_the_store_that_is_away_is_told(self):
+    def test_records_whether_the_store_can_be_read(self):
         updates, table, _ = self.scene()
-        updates.apply(store.Change(is_away=True))
+        updates.apply(store.Change(is_read_failure=True))
         assert table.is_away
         updates.apply(store.Change())
         assert not table.is_away
@@ -268,6 +276,6 @@
         route = next(r for r in found.routes if r.name == 'lookup')
         assert [s.name for s in route.services] == ['a', 'b']
 
-    def test_what_is_no_configuration_is_refused(self):
+    def test_a_malformed_configuration_is_rejected(self):
         with pytest.raises(errors.PlatformError):
             wire.decode_configuration(b'[]')
