--- a/lacewingpitch/authentication.py
+++ b/lacewingpitch/authentication.py
@@ -107,7 +107,7 @@
             # would not retry after an "unknown key" refusal.
             raise self._outdated_refusal()
         raise errors.RefusalError(
-            errors.ErrorKind.UNAUTHENTICATED, 'unknown API key'
+            errors.ErrorKind.UNAUTHENTICATED, 'no such API key'
         )
 
     def _is_recent_enough(self, age_s: float) -> bool:
@@ -118,6 +118,6 @@
     def _outdated_refusal(self) -> errors.RefusalError:
         return errors.RefusalError(
             errors.ErrorKind.CONFIGURATION_OUTDATED,
-            'this instance cannot check API keys at present',
+            'the API key cannot be checked here at present',
             retry_after_s=self._random.uniform(*_RETRY_AFTER_S),
         )
--- a/lacewingpitch/platform/caller_headers.py
+++ b/lacewingpitch/platform/caller_headers.py
@@ -1,4 +1,4 @@
-"""Reads the headers of callers' requests."""
+"""Parsing of the headers of callers' requests."""
 
 from aiohttp import web
 
@@ -6,14 +6,14 @@
 from lacewingpitch import errors
 from lacewingpitch.platform import names
 
-# Far above any answer; what callers write is theirs.
+# Far above the length of any answer; bounds what callers may state.
 _MAX_EXPECTED_TOKENS = 1 << 20
-# Longer numbers are no times or counts, and slow to read.
-_MAX_DIGITS = 15
+# Longer numbers are not valid times or counts, and slow to parse.
+_MAX_NUMBER_DIGITS = 15
 
 
 def api_key(request: web.BaseRequest) -> str:
-    """Return the caller's API key; empty if it sent none, or several."""
+    """Return the API key of the caller; empty if it sent none or several."""
     sent = request.headers.getall(names.AUTHORIZATION, ())
     if len(sent) != 1:
         return ''
@@ -24,61 +24,64 @@
 
 
 def number(request: web.BaseRequest, name: str) -> int:
-    """Return a number that a header holds; 0 if it is not there.
+    """Return the number in a header; 0 if the header is absent.
 
     Raises
     ------
     RefusalError
-        It holds something else.
+        The header is not a whole number.
     """
     text = request.headers.get(name, '')
     if not text:
         return 0
     if not _is_number(text):
         raise errors.RefusalError(
-            errors.ErrorKind.BAD_REQUEST, f'{name} is no whole number'
+            errors.ErrorKind.BAD_REQUEST, f'{name} is not a whole number'
         )
     return int(text)
 
 
 def expected_tokens(request: web.BaseRequest) -> int:
-    """Return what the caller expects of the answer; 0 if not known."""
-    # An estimate that cannot be read is no reason to refuse.
-    found = _count(request.headers.get(names.EXPECTED_TOKENS, ''))
+    """Return the tokens that the caller expects; 0 if not stated."""
+    # It is only an estimate, so a malformed value is ignored.
+    found = _parse_count(request.headers.get(names.EXPECTED_TOKENS, ''))
     return min(found, _MAX_EXPECTED_TOKENS)
 
 
 def tokens(request: web.BaseRequest) -> tuple[int, int]:
-    """Return the tokens of the prompt, and the most of the answer."""
+    """Return the tokens of the prompt and the maximum of the answer.
+
+    Each is 0 if it is absent or malformed.
+    """
     prompt, _, answer = request.headers.get(names.TOKENS, '').partition(',')
-    return _count(prompt), _count(answer)
+    return _parse_count(prompt), _parse_count(answer)
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     text = text.strip()
     return int(text) if _is_number(text) else 0
 
 
 def _is_number(text: str) -> bool:
-    return text.isdecimal() and len(text) <= _MAX_DIGITS
+    return text.isdecimal() and len(text) <= _MAX_NUMBER_DIGITS
 
 
-def passed_on(
-    request: web.BaseRequest, has_event_id: bool, passes_key: bool
+def forwarded(
+    request: web.BaseRequest, has_event_id: bool, forwards_key: bool
 ) -> backend_call.Headers:
-    """Return the headers that go to the backend server as they are.
+    """Return the headers to forward unchanged to the backend server.
 
     Parameters
     ----------
     has_event_id
-        Whether the system itself names the last event.
-    passes_key
-        Whether callers' keys are the backend server's to check.
+        Whether the system sets the id of the last event itself.
+    forwards_key
+        Whether the backend server checks the keys of callers itself.
     """
     dropped = names.HOP_BY_HOP | names.SYSTEM_ONLY
-    for listed in request.headers.getall('Connection', ()):
-        dropped |= {name.strip().lower() for name in listed.split(',')}
-    if not passes_key:
+    for option in request.headers.getall('Connection', ()):
+        dropped |= {name.strip().lower() for name in option.split(',')}
+    if not forwards_key:
         dropped |= names.KEYS
     if has_event_id:
         dropped |= {names.LAST_EVENT_ID.lower()}
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry instance on the platform."""
+"""Entry instance: accepts requests and forwards them to backend servers."""
 
 import contextlib
 
@@ -38,25 +38,26 @@
 from lacewingpitch import usage_limits
 from lacewingpitch import usage_owners
 
-# As many entries share the retry budget at least: more than there are at
-# the small sites, spare instances included.
-_LEAST_ENTRIES = 10
-# Runs at model engines last about as long; what one told before that says
-# little of its load now.
-_LOAD_AGE_S = 2.0
-# Links to sidecars that are kept open: twice the engines of the target.
+# The retry budget is divided by this number of entries at least, which is
+# more than small deployments have, including spare instances.
+_MIN_ENTRIES = 10
+# About the duration of a run at a model engine; an older load report says
+# little about the current load.
+_MAX_LOAD_AGE_S = 2.0
+# Open links to sidecars: twice the engines of a deployment of the target size.
 _MAX_PEERS = 2048
-# Processes that start ask once each, and seldom many of them together.
-_CONTROL_CONTEXTS = 4
-# Each adapter that an engine loads is a change of the list, so that the
-# pause decides how many calls an entry makes.  The rest of the time within
-# which news must be in force is for a slow store and a busy processor.
-_PAUSE_RATIO = 0.55
+# A starting process sends one state request; few processes start together.
+_MAX_CONTROL_REQUESTS = 4
+# Share of `propagation_limit_s` for which changes of the store are batched.
+# Each adapter that an engine loads changes the list, so that this delay
+# determines how many calls an entry makes.  The rest of the time allows for a
+# slow store and a busy CPU.
+_BATCH_DELAY_RATIO = 0.55
 log = structlog.get_logger(__name__)
 
 
 class Entry:
-    """Takes callers' requests and carries them to backend servers."""
+    """Accepts requests of callers and forwards them to backend servers."""
 
     def __init__(
         self,
@@ -96,7 +97,7 @@
         self._budgets = retry_budget.ServiceBudgets(
             file.settings.retry_ratio,
             file.settings.retry_allowance,
-            _LEAST_ENTRIES,
+            _MIN_ENTRIES,
         )
         self._suspects = suspects_module.Suspects(
             self._process.clock,
@@ -130,7 +131,7 @@
         self._carrier: carrier_module.Carrier | None = None
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         settings = self._file.settings
         return {
             'callers': settings_module.port_of(settings.callers),
@@ -138,7 +139,7 @@
         }
 
     async def start(self) -> None:
-        """Follow the store, and listen for callers."""
+        """Start to watch the store and to listen for callers."""
         settings = self._file.settings
         exits = self._process.exits
         exchange = configuration_exchange.ConfigurationExchange(
@@ -151,15 +152,17 @@
         self._process.background.run('settings', self._file.follow)
         self._process.background.run('silence', self.frontend.close_silent)
         self._carrier = await self._new_carrier(exchange)
-        store = await self._follow(exchange)
+        store = await self._watch_store(exchange)
         self._add_metrics(self._carrier, store)
-        await self._share_state(exchange, store)
+        await self._start_peer_bootstrap(exchange, store)
         await exits.enter_async_context(
             metrics_server.serving(
                 self._process.metrics, settings.ip, settings.metrics_port
             )
         )
-        await listening.listen(web.Server(self._ready), settings.ready, exits)
+        await listening.listen(
+            web.Server(self._handle_ready), settings.ready, exits
+        )
         await self.frontend.listen(settings.callers, exits)
 
     async def _new_carrier(
@@ -171,7 +174,7 @@
             process.clock,
             product_settings.ObjectiveSettings(stall_weight=1),
             squeeze_s=0.0,
-            load_age_s=_LOAD_AGE_S,
+            load_age_s=_MAX_LOAD_AGE_S,
             copies=kept_copies.KeptCopies(),
             instance=settings.instance,
         )
@@ -212,12 +215,12 @@
             self._suspects,
         )
 
-    async def _share_state(
+    async def _start_peer_bootstrap(
         self,
         exchange: configuration_exchange.ConfigurationExchange,
         store: store_module.Store,
     ) -> None:
-        """Answer entries that start, and ask them as this one does."""
+        """Request state from other entries, and answer those that start."""
         settings = self._file.settings
         state = peer_bootstrap.PeerBootstrap(
             self._peers,
@@ -237,14 +240,14 @@
         if not settings.control:
             return
         control = link.ControlServer(
-            settings_module.sealer(settings), _CONTROL_CONTEXTS
+            settings_module.sealer(settings), _MAX_CONTROL_REQUESTS
         )
         control.handle(peer_bootstrap.StateRequest, state.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
         self._process.exits.push_async_callback(control.close)
 
     async def close(self) -> None:
-        """Finish what is in progress, then release everything."""
+        """Drain the requests in progress, then release all resources."""
         await draining.drain(
             self.frontend, self._process.clock, self._file.settings.drain_s
         )
@@ -347,7 +350,7 @@
             list_age_s=round(self.servers.age_s, 1),
         )
 
-    async def _follow(
+    async def _watch_store(
         self, exchange: configuration_exchange.ConfigurationExchange
     ) -> store_module.Store:
         session = await self._process.exits.enter_async_context(
@@ -366,7 +369,7 @@
         watcher = store_module.PrefixWatcher(
             store,
             store_updates.common_prefix(handlers),
-            batch_delay_s=_PAUSE_RATIO * settings.news_within_s,
+            batch_delay_s=_BATCH_DELAY_RATIO * settings.propagation_limit_s,
             max_confirmation_age_s=self._authenticator.confirm_within_s,
             clock=self._process.clock,
             source=self._process.random,
@@ -376,7 +379,7 @@
         )
         return store
 
-    async def _ready(self, _request: web.BaseRequest) -> web.Response:
+    async def _handle_ready(self, _request: web.BaseRequest) -> web.Response:
         if self.frontend.is_draining:
             return web.Response(status=503, text='draining\n')
         if (
--- a/lacewingpitch/platform/frontend.py
+++ b/lacewingpitch/platform/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of an entry towards callers, as the platform has it."""
+"""HTTP server of an entry for the requests of callers."""
 
 import asyncio
 import collections
@@ -29,47 +29,58 @@
 from lacewingpitch import usage_limits
 
 _MS_PER_S = 1000
-# Callers use connections again that were idle for less than this; one
-# that is closed earlier may cross a request on its way.
+# Callers reuse connections that were idle for less than this; closing one
+# earlier may lose a request that is in transit.
 _KEEPALIVE_S = 75.0
-# A caller that takes no byte for so long has gone without a word.
-_STALL_S = 10.0
+# A caller that accepts no byte for this long is gone.
+_STALL_TIMEOUT_S = 10.0
 _BODY_TIMEOUT_S = 10.0
-# How exactly the limit of time for a first head is kept.
-_LOOK_INTERVAL_S = 1.0
+# Precision of the time limit for the first request on a connection.
+_SILENCE_CHECK_INTERVAL_S = 1.0
 _MAX_LINE_BYTES = 16 << 10
-# Each name is a time series of its own.
+# Bounds the number of time series.  Further organisations count as one.
 _MAX_ORGANISATION_LABELS = 64
 _OTHER_ORGANISATIONS = 'other'
 log = structlog.get_logger(__name__)
 
-Serve = Callable[
+RequestHandler = Callable[
     [backend_call.CallerRequest, backend_call.Delivery], Awaitable[None]
 ]
 
 
 class Frontend:
-    """Reads callers' requests and finds their routes.
+    """Reads and authenticates requests, and finds their routes.
 
     Parameters
     ----------
     serve
-        Answers a request; raises `errors.RefusalError` otherwise.
-    times
-        Takes note of how long requests took, by outcome.
+        Answers a request; raises `errors.RefusalError` if it cannot.
+    request_times
+        Records the duration of requests by outcome.
     start_wait
-        How long requests wait until a configuration is known.
+        Limits how long requests wait for the first configuration.
     authenticator
-        Knows callers by their API keys.
+        Finds the organisation of a caller by its API key.
     usage
-        Keeps organisations within their limits.
+        Enforces the usage limits of organisations.
+
+    Attributes
+    ----------
+    ended_by_outcome
+        Number of requests that have ended, by outcome.
+    ended_by_organisation
+        The same by organisation, for requests that have one.
+    is_draining
+        Whether connections are closed after their current answers.
+    is_refusing
+        Whether new requests are refused.
     """
 
     def __init__(
         self,
         table: routing.RoutingTable,
-        serve: Serve,
-        times: metrics_module.Seconds,
+        serve: RequestHandler,
+        request_times: metrics_module.Seconds,
         start_wait: start_wait_module.StartWait,
         clock: clock_module.Clock,
         authenticator: authentication_module.Authenticator,
@@ -81,15 +92,15 @@
         self._start_wait = start_wait
         self._table = table
         self._serve = serve
-        self._times = times
+        self._request_times = request_times
         self.ended_by_outcome: collections.Counter[str] = collections.Counter()
         self.ended_by_organisation: collections.Counter[str] = (
             collections.Counter()
         )
         self.is_draining = False
         self.is_refusing = False
-        self._busy: set[asyncio.BaseTransport] = set()
-        self._silent: silent_connections.SilentConnections[
+        self._busy_transports: set[asyncio.BaseTransport] = set()
+        self._silent_connections: silent_connections.SilentConnections[
             asyncio.BaseTransport
         ] = silent_connections.SilentConnections(clock)
         self._server: web.Server | None = None
@@ -98,12 +109,12 @@
     @property
     def in_progress(self) -> int:
         """Return how many requests are in progress."""
-        return len(self._busy)
+        return len(self._busy_transports)
 
     async def listen(
         self, endpoint: str, exits: contextlib.AsyncExitStack
     ) -> None:
-        """Take callers' connections until `exits` is left."""
+        """Accept connections of callers until `exits` is closed."""
         self._server = web.Server(
             self._handle,
             request_factory=self._new_request,
@@ -119,7 +130,7 @@
         self._site = await listening.listen(self._server, endpoint, exits)
 
     async def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         if self._site is not None:
             site, self._site = self._site, None
             await site.stop()
@@ -127,21 +138,25 @@
     def close_idle(self) -> None:
         """Close connections on which no request is in progress.
 
-        The others close with their answers.  The library's own way ends
-        the task of an idle connection and leaves the connection open: a
-        request that comes then is taken by nobody.
+        The others close after their answers.  The method of the library
+        cancels the task of an idle connection but leaves the connection
+        open, so that a request that arrives then is never handled.
         """
         for transport in self._transports():
-            if transport not in self._busy:
+            if transport not in self._busy_transports:
                 transport.close()
 
     async def close_silent(self) -> None:
-        """Close connections that never bring a request, for ever."""
+        """Close connections without any request, in an endless loop.
+
+        A connection is closed if its first request has not arrived within
+        the idle timeout of the configuration.
+        """
         while True:
-            await asyncio.sleep(_LOOK_INTERVAL_S)
+            await asyncio.sleep(_SILENCE_CHECK_INTERVAL_S)
             transports = self._transports()
             limit_s = self._limits.idle_timeout_s
-            overdue = self._silent.overdue(transports, limit_s)
+            overdue = self._silent_connections.overdue(transports, limit_s)
             for transport in overdue:
                 transport.close()
             if overdue:
@@ -153,7 +168,7 @@
                 )
 
     def _transports(self) -> list[asyncio.BaseTransport]:
-        """Return the connections that are open."""
+        """Return the open connections."""
         handlers = self._server.connections if self._server else ()
         return [
             handler.transport
@@ -193,23 +208,23 @@
         )
         request_id = request.headers.get(names.REQUEST_ID, '')
         transport = request.transport
-        # A request can come in the same moment in which its connection is
-        # closed as idle, before it counts as busy.  Sent on, which takes no
-        # wait on a kept connection, it would run and its answer be lost;
-        # not read, it is sent again by its caller.
+        # A request may arrive while its connection is being closed as idle,
+        # before it counts as busy.  If it were forwarded, which needs no
+        # wait on a persistent connection, it would run and its answer would
+        # be lost.  If it is not read, its caller sends it again.
         if transport is None or transport.is_closing():
             raise ConnectionResetError('the connection is closed')
-        self._busy.add(transport)
-        self._silent.note_request(transport)
+        self._busy_transports.add(transport)
+        self._silent_connections.note_request(transport)
         try:
-            http_guard.limit_stall(request, _STALL_S)
-            await self._answer(request, request_id, delivery, arrived_s)
+            http_guard.limit_stall(request, _STALL_TIMEOUT_S)
+            await self._serve_request(request, request_id, delivery, arrived_s)
         finally:
-            self._busy.discard(transport)
+            self._busy_transports.discard(transport)
         assert delivery.response is not None
         return delivery.response
 
-    async def _answer(
+    async def _serve_request(
         self,
         request: web.BaseRequest,
         request_id: str,
@@ -219,20 +234,20 @@
         outcome = 'left'
         route_name = ''
         caller: organisation_module.Organisation | None = None
-        arrived_at_s = self._clock.boot_s()
+        arrived_boot_s = self._clock.boot_s()
         try:
-            route = await self._route(request)
+            route = await self._find_route(request)
             route_name = route.name
             caller = self._authenticator.authenticate(
-                route, caller_headers.api_key(request), arrived_at_s
+                route, caller_headers.api_key(request), arrived_boot_s
             )
-            found = await self._read(
+            caller_request = await self._read_request(
                 request, request_id, route, caller, arrived_s
             )
             async with self._usage.charged(
-                caller, found.prompt_tokens, found.max_tokens
+                caller, caller_request.prompt_tokens, caller_request.max_tokens
             ):
-                await self._serve(found, delivery)
+                await self._serve(caller_request, delivery)
             outcome = 'served'
         except errors.RefusalError as error:
             outcome = error.kind.value
@@ -243,15 +258,15 @@
         except Exception:
             outcome = errors.ErrorKind.INTERNAL.value
             log.exception('handler failed', request_id=request_id)
-            fault = errors.RefusalError(
+            refusal = errors.RefusalError(
                 errors.ErrorKind.INTERNAL, 'a fault of the server'
             )
-            await delivery.refuse(fault, request_id)
+            await delivery.refuse(refusal, request_id)
         finally:
             took_s = time.monotonic() - arrived_s
             self.ended_by_outcome[outcome] += 1
-            self._count(caller)
-            self._times.observe('outcome', outcome, took_s)
+            self._count_by_organisation(caller)
+            self._request_times.observe('outcome', outcome, took_s)
             log.info(
                 'request ended',
                 request_id=request_id,
@@ -261,10 +276,14 @@
                 status=delivery.response.status if delivery.response else 0,
                 took_ms=round(took_s * _MS_PER_S),
                 configuration_version=self._table.version,
-                configuration_age_ms=self._authenticator.age_ms(arrived_at_s),
+                configuration_age_ms=self._authenticator.age_ms(
+                    arrived_boot_s
+                ),
             )
 
-    def _count(self, caller: organisation_module.Organisation | None) -> None:
+    def _count_by_organisation(
+        self, caller: organisation_module.Organisation | None
+    ) -> None:
         if caller is None:
             return
         name = caller.name
@@ -273,31 +292,33 @@
             name = _OTHER_ORGANISATIONS
         counts[name] += 1
 
-    async def _until_started(self, request: web.BaseRequest) -> None:
-        # Callers that connect while an instance restarts are let in as
-        # soon as it listens.  Refused then, they would have used up the
-        # one more try that most of them have.
+    async def _wait_until_configured(self, request: web.BaseRequest) -> None:
+        # Callers that connect while an instance restarts are accepted as
+        # soon as it listens.  Refusing them then would use up their retry;
+        # most callers have only one.
         if self._table.configuration is not None:
             return
-        caller_s = (
+        caller_timeout_s = (
             caller_headers.number(request, names.DEADLINE_MS) / _MS_PER_S
         )
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._start_wait.left_s(caller_s)):
+            async with asyncio.timeout(
+                self._start_wait.left_s(caller_timeout_s)
+            ):
                 await self._table.until_known()
 
-    async def _route(self, request: web.BaseRequest) -> routing.Route:
-        await self._until_started(request)
+    async def _find_route(self, request: web.BaseRequest) -> routing.Route:
+        await self._wait_until_configured(request)
         if self.is_refusing:
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING,
-                'this instance is about to end',
+                'this instance is shutting down',
                 retry_after_s=0.0,
             )
         path = request.raw_path.partition('?')[0]
         return self._table.find(request.headers.get('Host', ''), path)
 
-    async def _read(
+    async def _read_request(
         self,
         request: web.BaseRequest,
         request_id: str,
@@ -307,7 +328,7 @@
     ) -> backend_call.CallerRequest:
         if not request_id:
             raise errors.RefusalError(
-                errors.ErrorKind.BAD_REQUEST, f'no {names.REQUEST_ID}'
+                errors.ErrorKind.BAD_REQUEST, f'no {names.REQUEST_ID} header'
             )
         deadline_ms = caller_headers.number(request, names.DEADLINE_MS)
         limit_s = route.timeout_s
@@ -325,10 +346,10 @@
             request_id=request_id,
             method=request.method,
             target=request.raw_path,
-            headers=caller_headers.passed_on(
+            headers=caller_headers.forwarded(
                 request,
                 has_event_id=last_event_id > 0,
-                passes_key=self._table.api_keys is None,
+                forwards_key=self._table.api_keys is None,
             ),
             body=body,
             route=route,
--- a/lacewingpitch/platform/settings.py
+++ b/lacewingpitch/platform/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the daemons on the platform, in the product's names.
+"""Settings of the daemons on the platform, under the project's own names.
 
-`deploy/settings.json` is the template from which the platform writes the
-file, at each start and whenever a setting changes.
+The platform writes the settings file from the template
+`deploy/settings.json`, at each start and whenever a setting changes.
 """
 
 import asyncio
@@ -15,22 +15,22 @@
 from lacewingpitch import link
 from lacewingpitch import settings as settings_module
 
-# IP:PORT; empty where the process has none.
+# IP:PORT; empty if the process has none.
 Endpoint = str
 
-# Settings change a few times a day.
-_LOOK_INTERVAL_S = 1.0
+# Settings change only a few times a day.
+_CHECK_INTERVAL_S = 1.0
 _MS_PER_S = 1000
 _DEPLOYMENT = 'lacewingpitch'
-# The control messages cross the platform's internal network, which only
-# the system's own instances reach.  The signature tells damaged messages
-# and those of another version apart; it is no secret.
-_SEAL = 'lacewingpitch-internal-network'
+# Control messages use the platform's internal network, which only instances
+# of this system can reach.  The signature detects damaged messages and those
+# of another version; the key is not a secret.
+_SIGNING_KEY = 'lacewingpitch-internal-network'
 log = structlog.get_logger(__name__)
 
 
 class DaemonSettings(decoding.Record, frozen=True, kw_only=True):
-    """What a process is told of itself and of its bounds.
+    """Addresses and time limits of one process.
 
     Parameters
     ----------
@@ -41,36 +41,36 @@
     store
         Address of the platform's store.
     callers
-        Where an entry listens for callers.
+        Address at which an entry listens for callers.
     ready
-        Where an entry is asked whether it is ready.
+        Address at which an entry answers readiness checks.
     control
-        Where an entry listens for other entries that start.
+        Address at which an entry listens for other entries that start.
     seeds
-        Control addresses of some entries, this one perhaps among them.
+        Control addresses of some entries, which may include this one.
     engine
         Address of the engine beside a sidecar.
     service
         Service that this engine belongs to.
     configuration_within_ms
-        Time in which a configuration must be in force.
+        Time within which a published configuration must be in force.
     leaving_within_ms
-        Time in which a server that leaves must get no new requests.
+        Time after which a leaving server must get no new requests.
     contact_ms
-        Time after a disruption from which a process is bound again by
-        what it could have read.
+        Time after the end of an outage from which a process must act on
+        everything that it can read again.
     keys_void_within_ms
-        Time in which an API key that was taken away must be void at every
-        instance, in touch or not; 0 where there is no such time.
+        Time within which a revoked API key must be void at every instance,
+        also without the store; ``None`` if there is no such limit.
     drain_s
-        Time between the signal to end and the end by force.
+        Time between SIGTERM and the forced end of the process.
     retry_ratio
         Retries allowed per request of a service, over all entries.
     retry_allowance
         Further retries in a window, over all entries.
     released_fingerprints
-        Requests that are let through although backend servers crashed as
-        they began to run them.
+        Requests that are allowed although backend servers crashed when
+        they started to run them.
     """
 
     instance: contract.Name
@@ -95,23 +95,23 @@
     released_fingerprints: tuple[str, ...] = ()
 
     @property
-    def news_within_s(self) -> float:
-        """Return the time in which all that is published must be known."""
+    def propagation_limit_s(self) -> float:
+        """Return the time within which any change must be in force."""
         within_ms = min(self.configuration_within_ms, self.leaving_within_ms)
         return within_ms / _MS_PER_S
 
     @property
     def contact_s(self) -> float:
-        """Return the time after a disruption in seconds."""
+        """Return `contact_ms` in seconds."""
         return self.contact_ms / _MS_PER_S
 
     @property
     def keys_void_within_s(self) -> float:
-        """Return the same time in seconds; 0 where there is none."""
+        """Return `keys_void_within_ms` in seconds; 0 if there is none."""
         return (self.keys_void_within_ms or 0.0) / _MS_PER_S
 
     def __post_init__(self) -> None:
-        """Refuse what only looks like an address."""
+        """Reject malformed addresses."""
         settings_module.check_ip(self.ip)
         endpoints = (self.store, self.callers, self.ready, self.control)
         for endpoint in (*endpoints, self.engine, *self.seeds):
@@ -125,28 +125,28 @@
 
 
 def split_endpoint(endpoint: str) -> tuple[str, int]:
-    """Return IP number and port of IP:PORT.
+    """Return the IP address and the port of IP:PORT.
 
     Raises
     ------
     ValueError
-        It is no such address.
+        The text is not IP:PORT.
     """
     ip, _, port = endpoint.rpartition(':')
     settings_module.check_ip(ip)
     number = int(port)
     if not 0 < number < 1 << 16:
-        raise ValueError(f'no port: {port}')
+        raise ValueError(f'not a port: {port}')
     return ip, number
 
 
 def sealer(settings: DaemonSettings) -> link.Sealer:
-    """Return what signs the control messages of a process."""
-    return link.Sealer(_DEPLOYMENT, _SEAL, settings.instance)
+    """Return the signer of a process's control messages."""
+    return link.Sealer(_DEPLOYMENT, _SIGNING_KEY, settings.instance)
 
 
 def address_of(endpoint: Endpoint) -> settings_module.Address:
-    """Return IP:PORT as the product's address."""
+    """Convert IP:PORT to an address."""
     ip, port = split_endpoint(endpoint)
     return settings_module.Address(ip=ip, port=port)
 
@@ -157,7 +157,7 @@
 
 
 class SettingsFile:
-    """The settings of this process, and what changes in their file."""
+    """The settings of this process, reloaded when their file changes."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
@@ -165,12 +165,12 @@
         self._modified_ns = path.stat().st_mtime_ns
 
     def require(self, *names: str) -> None:
-        """Check that fields are there which one kind of process needs.
+        """Check that the named fields are set.
 
         Raises
         ------
         SettingsError
-            Names those that are missing.
+            Some are missing; the message names them.
         """
         missing = [n for n in names if not getattr(self.settings, n)]
         if missing:
@@ -179,7 +179,7 @@
             )
 
     def reload(self) -> None:
-        """Read the file again; keep what was in force if it is wrong."""
+        """Read the file again; keep the current settings if it is invalid."""
         try:
             self._modified_ns = self._path.stat().st_mtime_ns
             found = settings_module.load_settings(self._path, DaemonSettings)
@@ -195,17 +195,17 @@
         log.info('settings reloaded', changed=fields)
 
     def reload_if_changed(self) -> None:
-        """Read the file again if it was written since."""
+        """Read the file again if it has been modified."""
         try:
             modified_ns = self._path.stat().st_mtime_ns
         except OSError as error:
-            log.error('settings file lost', error=str(error))
+            log.error('settings file not readable', error=str(error))
             return
         if modified_ns != self._modified_ns:
             self.reload()
 
     async def follow(self) -> None:
-        """Look for changes for ever: they may come without a signal."""
+        """Check the file in an endless loop; it may change without SIGHUP."""
         while True:
-            await asyncio.sleep(_LOOK_INTERVAL_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             self.reload_if_changed()
--- a/tests/test_platform_caller_headers.py
+++ b/tests/test_platform_caller_headers.py
@@ -60,8 +60,8 @@
         caller_headers.api_key(sent)
         caller_headers.tokens(sent)
         caller_headers.expected_tokens(sent)
-        passed = caller_headers.passed_on(
-            sent, has_event_id=False, passes_key=False
+        passed = caller_headers.forwarded(
+            sent, has_event_id=False, forwards_key=False
         )
         names = {name.lower() for name, _ in passed}
         assert not names & {'authorization', 'tenant'}
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -41,7 +41,7 @@
     def test_gives_each_daemon_what_it_needs(self, tmp_path):
         entry = settings.SettingsFile(write(tmp_path, fields('entry')))
         entry.require('callers', 'ready')
-        assert entry.settings.news_within_s == 2.0
+        assert entry.settings.propagation_limit_s == 2.0
         assert entry.settings.engine == ''
         sidecar = settings.SettingsFile(write(tmp_path, fields('sidecar')))
         sidecar.require('engine', 'service')
