--- a/lacewingpitch/platform/__init__.py
+++ b/lacewingpitch/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Translates the users' platform into the product's types.
+"""Adapter between the users' platform and the types of this project.
 
-Names of the platform's messages, headers and settings stand in this
-folder and nowhere else.  It decides nothing: what is done with what it
-decodes is up to the modules beside it.
+Names of the platform's messages, headers and settings appear only in this
+package.  It contains no policy: decisions about what it decodes are made
+by the modules of the parent package.
 """
--- a/lacewingpitch/platform/__main__.py
+++ b/lacewingpitch/platform/__main__.py
@@ -1,10 +1,11 @@
-"""Starts a daemon on the platform."""
+"""Entry point of the daemons on the platform."""
 
 import importlib
 import signal
 
-# Reading the modules takes half a second, in which a signal to read the
-# settings again would end the process; they are read after it anyway.
+# Importing the modules takes half a second, during which a SIGHUP, the signal
+# to reload the settings, would end the process.  The settings are read later
+# in any case.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 if __name__ == '__main__':
--- a/lacewingpitch/platform/backend_client.py
+++ b/lacewingpitch/platform/backend_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers, as the platform has them sent."""
+"""HTTP client for requests to backend servers."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -13,45 +13,51 @@
 from lacewingpitch.platform import names
 from lacewingpitch import session_pool
 
-# A connection that takes longer meets an instance that is down, or behind
-# a cut.
+# If connecting takes longer, the instance is down or unreachable.
 _CONNECT_TIMEOUT_S = 0.4
-# Connections that are idle for longer are closed.  Servers close theirs
-# after seconds, some sooner than they say; a request that crosses this is
-# sent once more.
+# Connections that are idle for longer are closed.  Servers close idle
+# connections after seconds, some earlier than they state; a request sent at
+# that moment is retried once.
 _MAX_IDLE_S = 5.0
 _MS_PER_S = 1000
-_LEAST_DEADLINE_MS = 1
-_MOST_PRIORITY = 9
-_OTHER_INCARNATION = 421
-_CLOSE = 'close'
+_MIN_DEADLINE_MS = 1
+_MAX_PRIORITY = 9
+_STATUS_OTHER_INCARNATION = 421
+_CONNECTION_CLOSE = 'close'
 _READ_BUFFER_BYTES = 1 << 16
 _MAX_REASON_CHARS = 160
 
 
-class _Connection:
-    """What is known of the connection of one request."""
+class _ConnectionTrace:
+    """Whether the connection of one request had been used before."""
 
-    is_kept = False
+    is_reused = False
 
 
 class HttpBackendClient:
-    """Sends requests, on connections that were used before where it may.
-
-    A new connection costs 1 ms of its server, and one for each request
-    costs more than all other messages together.  A connection is used
-    again only after an answer that was whole and framed, with no byte
-    after it, and only while it has hardly been idle.  The id of an answer
-    shows one that belongs to another request.
+    """Sends requests, on persistent connections where that is safe.
+
+    A new connection takes 1 ms of its server's time; one for each request
+    costs more than all other messages together.  A connection is reused
+    only after a complete response with a length or chunked encoding and no
+    byte after it, and only if it was idle for a short time.  The request
+    id in a response shows whether it belongs to another request.
+
+    Parameters
+    ----------
+    single_use
+        Session for requests that must not share a connection.
+    pool
+        Sessions with persistent connections.
     """
 
     def __init__(
         self,
         single_use: aiohttp.ClientSession,
-        kept: session_pool.SessionPool,
+        pool: session_pool.SessionPool,
     ) -> None:
         self._single_use = single_use
-        self._kept = kept
+        self._pool = pool
 
     @contextlib.asynccontextmanager
     async def send(
@@ -61,11 +67,11 @@
         async with self._session(call) as session:
             response = await self._open(session, call)
             try:
-                _check_ran(call, response)
+                _check_response(call, response)
                 yield backend_call.BackendAnswer(
                     status=response.status,
-                    headers=_end_to_end(response),
-                    is_leaving=_says_close(response),
+                    headers=_end_to_end_headers(response),
+                    is_leaving=_is_closing(response),
                     chunks=_chunks(response),
                 )
             finally:
@@ -75,7 +81,7 @@
         self, call: backend_call.BackendCall
     ) -> contextlib.AbstractAsyncContextManager[aiohttp.ClientSession]:
         if call.may_share_connection:
-            return self._kept.use(call.server)
+            return self._pool.use(call.server)
         return contextlib.nullcontext(self._single_use)
 
     async def _open(
@@ -86,15 +92,15 @@
         url = yarl.URL(
             f'http://{server.ip}:{server.port}{request.target}', encoded=True
         )
-        connection = _Connection()
+        trace = _ConnectionTrace()
         try:
             return await session.request(
                 request.method,
                 url,
                 data=request.body or None,
-                headers=_headers(call),
+                headers=_request_headers(call),
                 allow_redirects=False,
-                trace_request_ctx=connection,
+                trace_request_ctx=trace,
             )
         except (
             aiohttp.ClientConnectorError,
@@ -104,7 +110,7 @@
                 _reason(error), is_refused=_is_refused(error)
             ) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            if connection.is_kept:
+            if trace.is_reused:
                 raise backend_call.StaleConnectionError(
                     _reason(error)
                 ) from error
@@ -112,31 +118,31 @@
 
 
 def new_client(exits: contextlib.AsyncExitStack) -> HttpBackendClient:
-    """Return a client whose connections close with `exits`."""
+    """Return a client whose connections are closed by `exits`."""
     single_use = _new_session(aiohttp.TCPConnector(limit=0, force_close=True))
     exits.push_async_callback(single_use.close)
-    kept = session_pool.SessionPool(_new_keeping_session)
-    exits.push_async_callback(kept.close)
-    return HttpBackendClient(single_use, kept)
+    pool = session_pool.SessionPool(_new_persistent_session)
+    exits.push_async_callback(pool.close)
+    return HttpBackendClient(single_use, pool)
 
 
-def _new_keeping_session() -> aiohttp.ClientSession:
+def _new_persistent_session() -> aiohttp.ClientSession:
     return _new_session(
         aiohttp.TCPConnector(limit=0, keepalive_timeout=_MAX_IDLE_S)
     )
 
 
-async def _note_kept(
+async def _mark_reused(
     _session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     _params: aiohttp.TraceConnectionReuseconnParams,
 ) -> None:
-    context.trace_request_ctx.is_kept = True
+    context.trace_request_ctx.is_reused = True
 
 
 def _new_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
     trace = aiohttp.TraceConfig()
-    trace.on_connection_reuseconn.append(_note_kept)
+    trace.on_connection_reuseconn.append(_mark_reused)
     return aiohttp.ClientSession(
         connector=connector,
         trace_configs=[trace],
@@ -156,10 +162,10 @@
 
 
 def _reason(error: Exception) -> str:
-    """Return what went wrong, without the request that it went wrong for.
+    """Describe an error for the log, without data of the request.
 
-    The library's text of some errors holds all headers, which belong to
-    the caller, and fill the log.
+    The messages of some aiohttp errors contain all headers, which are
+    private to the caller and would fill the log.
     """
     text = str(error)
     if isinstance(error, aiohttp.ClientResponseError):
@@ -174,19 +180,19 @@
     )
 
 
-def _headers(call: backend_call.BackendCall) -> list[tuple[str, str]]:
+def _request_headers(call: backend_call.BackendCall) -> list[tuple[str, str]]:
     request = call.request
-    left_s = call.until_s - time.monotonic()
-    left_ms = max(_LEAST_DEADLINE_MS, int(left_s * _MS_PER_S))
+    remaining_s = call.until_s - time.monotonic()
+    remaining_ms = max(_MIN_DEADLINE_MS, int(remaining_s * _MS_PER_S))
     headers = [
         *request.headers,
-        (names.DEADLINE_MS, str(left_ms)),
+        (names.DEADLINE_MS, str(remaining_ms)),
         (names.EXPECT_INCARNATION, call.server.name),
     ]
     if call.last_event_id:
         headers.append((names.LAST_EVENT_ID, str(call.last_event_id)))
     if request.model:
-        rank = min(request.rank, _MOST_PRIORITY)
+        rank = min(request.rank, _MAX_PRIORITY)
         headers.append((names.PRIORITY, str(rank)))
     if request.organisation is not None:
         headers.append((names.ORGANISATION, request.organisation.name))
@@ -195,14 +201,16 @@
     return headers
 
 
-def _check_ran(
+def _check_response(
     call: backend_call.BackendCall, response: aiohttp.ClientResponse
 ) -> None:
-    # An answer of another request may lie where this one's is due.
-    answered_id = response.headers.get(names.REQUEST_ID)
-    if answered_id not in (None, call.request.request_id):
-        raise backend_call.AnswerLostError('the answer is not to this request')
-    if response.status == _OTHER_INCARNATION:
+    # A late response to an earlier request may still be on the connection.
+    response_request_id = response.headers.get(names.REQUEST_ID)
+    if response_request_id not in (None, call.request.request_id):
+        raise backend_call.AnswerLostError(
+            'the response is to another request'
+        )
+    if response.status == _STATUS_OTHER_INCARNATION:
         raise backend_call.NotRunError(
             'another incarnation or version', is_other_server=True
         )
@@ -210,13 +218,15 @@
         raise backend_call.NotRunError(
             f'status {response.status}', is_other_server=False
         )
-    if answered_id is None:
-        raise backend_call.AnswerLostError('the answer names no request')
+    if response_request_id is None:
+        raise backend_call.AnswerLostError('the response has no request id')
     if 'Content-Encoding' in response.headers:
-        raise backend_call.AnswerLostError('the answer is encoded')
+        raise backend_call.AnswerLostError('the response is compressed')
 
 
-def _end_to_end(response: aiohttp.ClientResponse) -> backend_call.Headers:
+def _end_to_end_headers(
+    response: aiohttp.ClientResponse,
+) -> backend_call.Headers:
     return tuple(
         (name, value)
         for name, value in response.headers.items()
@@ -224,8 +234,8 @@
     )
 
 
-def _says_close(response: aiohttp.ClientResponse) -> bool:
-    return response.headers.get('Connection', '').lower() == _CLOSE
+def _is_closing(response: aiohttp.ClientResponse) -> bool:
+    return response.headers.get('Connection', '').lower() == _CONNECTION_CLOSE
 
 
 async def _chunks(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
@@ -238,9 +248,9 @@
         raise backend_call.AnswerLostError(_reason(error)) from error
     if _is_framed(response) or protocol is None:
         return
-    # An answer without a length ends with its connection.  The library
-    # takes a reset for such an end; the answer would be cut, and a
-    # caller would take it for whole.
+    # A response without a length ends when its connection is closed.
+    # aiohttp treats a reset as such an end, so that a caller would take a
+    # truncated response for a complete one.
     if isinstance(protocol.exception(), OSError):
         raise backend_call.AnswerLostError('reset before the end')
 
--- a/lacewingpitch/platform/caller_headers.py
+++ b/lacewingpitch/platform/caller_headers.py
@@ -82,7 +82,7 @@
     for option in request.headers.getall('Connection', ()):
         dropped |= {name.strip().lower() for name in option.split(',')}
     if not forwards_key:
-        dropped |= names.KEYS
+        dropped |= names.CREDENTIALS
     if has_event_id:
         dropped |= {names.LAST_EVENT_ID.lower()}
     return tuple(
--- a/lacewingpitch/platform/command_line.py
+++ b/lacewingpitch/platform/command_line.py
@@ -18,18 +18,18 @@
 def main() -> None:
     """Run lacewingpitch on the platform.
 
-    Settings are read from the file that LACEWINGPITCH_CONFIG names.  Logs
-    go to standard output as JSON lines.
+    Settings are read from the file named by LACEWINGPITCH_CONFIG.  Logs go
+    to standard output as JSON lines.
     """
 
 
 @main.command()
 def entry() -> None:
-    """Take callers' requests.
+    """Run an entry, which accepts requests of callers.
 
-    SIGTERM drains: it says that it is not ready, finishes what is in
-    progress within its time to drain, and exits 0.  SIGHUP reads the
-    settings again, as does a change of their file.
+    On SIGTERM it drains: it reports that it is not ready, finishes the
+    requests in progress within its drain time, and exits with status 0.
+    SIGHUP, or a change of the settings file, reloads the settings.
     """
     file = _start('entry', 'callers', 'ready')
     from lacewingpitch.platform import entry as module
@@ -39,7 +39,7 @@
 
 @main.command()
 def sidecar() -> None:
-    """Keep the model engine on this instance."""
+    """Run a sidecar, which controls the model engine on this instance."""
     file = _start('sidecar', 'engine', 'service')
     from lacewingpitch.platform import sidecar as module
 
@@ -48,15 +48,15 @@
 
 @main.command()
 def check() -> None:
-    """Check the settings file; exit 1 if there is a problem."""
+    """Check the settings file; exit with status 1 if it is invalid."""
     _load()
     click.echo('1 checked, 0 with problems')
 
 
-def _start(role: str, *needed: str) -> settings_module.SettingsFile:
+def _start(role: str, *required_fields: str) -> settings_module.SettingsFile:
     file = _load()
     try:
-        file.require(*needed)
+        file.require(*required_fields)
     except errors.SettingsError as error:
         raise click.ClickException(str(error)) from error
     log_output.configure(
--- a/lacewingpitch/platform/engine_client.py
+++ b/lacewingpitch/platform/engine_client.py
@@ -1,4 +1,4 @@
-"""The model engine beside a sidecar: its report, and orders to it."""
+"""HTTP client of the model engine beside a sidecar: reports and orders."""
 
 from collections.abc import Callable
 
@@ -12,52 +12,61 @@
 from lacewingpitch.platform import wire
 from lacewingpitch import platform_call
 
-# An engine on the same instance answers within a few ms.
+# An engine on the same instance normally answers within a few milliseconds.
 _REPORT_TIMEOUT_S = 0.5
 _ORDER_TIMEOUT_S = 1.0
 _MAX_REPORT_BYTES = 1 << 20
-_RESULTS = {
+_RESULT_BY_STATUS = {
     200: engine_orders.OrderResult.DONE,
     202: engine_orders.OrderResult.ACCEPTED,
     409: engine_orders.OrderResult.BUSY,
     412: engine_orders.OrderResult.FENCED,
     421: engine_orders.OrderResult.OTHER_INCARNATION,
 }
-_OK = 200
-_READY = 'ready'
+_STATUS_OK = 200
+_STATE_READY = 'ready'
 
 
-class _Run(msgspec.Struct, frozen=True, array_like=True):
-    # The caller's name of the attempt that is being worked on.
+class _RunReport(msgspec.Struct, frozen=True, array_like=True):
+    # The caller's id of the attempt that is running.
     request_id: str
 
 
-class _Report(msgspec.Struct, frozen=True):
+class _EngineReport(msgspec.Struct, frozen=True):
     models: tuple[wire.HeldModel, ...] = ()
-    # Adapters on their way, as MODEL/NAME@VERSION.
+    # Adapters that are being loaded, as MODEL/NAME@VERSION.
     pending: tuple[str, ...] = ()
-    # Anything but ready: it takes no more requests.
-    state: str = _READY
+    # In any other state than ready it accepts no more requests.
+    state: str = _STATE_READY
     queued: int = 0
     active: int = 0
-    runs: tuple[_Run, ...] = ()
-    # Number of orders taken; it starts anew when the engine does.
+    runs: tuple[_RunReport, ...] = ()
+    # Number of orders accepted since the engine started.
     sequence: int = 0
-    # Whether an order about a model is under way; adapters do not count.
+    # Whether an order for a model is in progress; adapters do not count.
     busy: bool = False
-    # Unix ms of its start; 0 where engines do not say it.
+    # Unix time of its start in ms; 0 if engines do not report it.
     born: int = 0
 
 
 class EngineClient:
-    """Calls to the engine on this instance.
+    """Sends orders to the engine on this instance, and reads its reports.
+
+    An incarnation is one run of the engine, from its start to its end; each
+    has a name of its own.  The fencing token rises with each new holder, so
+    that the engine can refuse orders of an earlier one.
 
     Parameters
     ----------
     holder
-        Name under which orders are given.
+        Name of this sidecar in its orders.
     health_path
-        Returns the path of the engine's health answer.
+        Returns the path of the engine's health check.
+
+    Attributes
+    ----------
+    order_count
+        Number of orders sent.
     """
 
     def __init__(
@@ -76,13 +85,13 @@
     async def incarnation(self) -> str:
         """Return the name of the engine's incarnation.
 
-        The report does not say it.  The answer about its health does,
-        whether it is healthy or not.
+        The report does not contain it.  The response of the health check
+        does, whether the engine is healthy or not.
 
         Raises
         ------
         PlatformError
-            It does not answer.
+            The engine does not answer, or does not name its incarnation.
         """
         timeout = aiohttp.ClientTimeout(total=_ORDER_TIMEOUT_S)
         with platform_call.platform_errors('engine'):
@@ -92,33 +101,33 @@
                 await response.read()
                 found = response.headers.get(names.INCARNATION, '')
         if not found:
-            raise errors.PlatformError('engine: no incarnation named')
+            raise errors.PlatformError('engine: no incarnation in response')
         return found
 
     async def report(self) -> engine_snapshot.EngineSnapshot:
-        """Return what the engine says of itself.
+        """Return the state that the engine reports.
 
         Raises
         ------
         PlatformError
-            It does not answer, or not as an engine does.
+            The engine does not answer, or its report is malformed.
         """
         timeout = aiohttp.ClientTimeout(total=_REPORT_TIMEOUT_S)
         with platform_call.platform_errors('engine'):
             async with self._session.get(
                 f'{self._url}{names.REPORT_PATH}', timeout=timeout
             ) as response:
-                if response.status != _OK:
+                if response.status != _STATUS_OK:
                     raise errors.PlatformError(
                         f'engine: status {response.status}'
                     )
                 data = await platform_call.read_limited(
                     response, _MAX_REPORT_BYTES
                 )
-                found = msgspec.json.decode(data, type=_Report)
+                found = msgspec.json.decode(data, type=_EngineReport)
         return engine_snapshot.EngineSnapshot(
             order_count=found.sequence,
-            is_leaving=found.state != _READY,
+            is_leaving=found.state != _STATE_READY,
             is_busy=found.busy,
             models=frozenset(model.name for model in found.models),
             held=wire.held_versions(found.models),
@@ -132,7 +141,7 @@
     async def load_model(
         self, model: str, fencing: int, incarnation: str
     ) -> engine_orders.OrderResult:
-        """Order a model to be loaded."""
+        """Order the engine to load a model."""
         body: dict[str, str | int] = {'operation': 'load', 'model': model}
         return await self._order(body, fencing, incarnation)
 
@@ -144,7 +153,7 @@
         fencing: int,
         incarnation: str,
     ) -> engine_orders.OrderResult:
-        """Order an adapter to be loaded; version 0 is the newest."""
+        """Order the engine to load an adapter; version 0 is the newest."""
         body: dict[str, str | int] = {
             'operation': 'load',
             'model': model,
@@ -157,7 +166,7 @@
     async def unload(
         self, model: str, adapter: str, fencing: int, incarnation: str
     ) -> engine_orders.OrderResult:
-        """Order an adapter that nothing uses to be unloaded."""
+        """Order the engine to unload an adapter that is not in use."""
         body: dict[str, str | int] = {
             'operation': 'unload',
             'model': model,
@@ -183,6 +192,6 @@
                 timeout=timeout,
             ) as response:
                 await response.read()
-                return _RESULTS.get(
+                return _RESULT_BY_STATUS.get(
                     response.status, engine_orders.OrderResult.REJECTED
                 )
--- a/lacewingpitch/platform/listening.py
+++ b/lacewingpitch/platform/listening.py
@@ -1,4 +1,4 @@
-"""Listens at the addresses that the platform assigns."""
+"""Listening sockets at the addresses that the platform assigns."""
 
 import contextlib
 
@@ -6,18 +6,18 @@
 
 from lacewingpitch.platform import settings as settings_module
 
-# Connections that wait to be taken while the processor is busy: a burst of
-# five times the usual within a second.
+# Connections that wait to be accepted while the CPU is busy: a burst of five
+# times the usual rate within a second.
 _BACKLOG = 1024
-_CLOSE_S = 0.1
+_CLOSE_TIMEOUT_S = 0.1
 
 
 async def listen(
     server: web.Server, endpoint: str, exits: contextlib.AsyncExitStack
 ) -> web.TCPSite:
-    """Listen at IP:PORT until `exits` is left."""
+    """Listen at IP:PORT until `exits` is closed."""
     ip, port = settings_module.split_endpoint(endpoint)
-    runner = web.ServerRunner(server, shutdown_timeout=_CLOSE_S)
+    runner = web.ServerRunner(server, shutdown_timeout=_CLOSE_TIMEOUT_S)
     await runner.setup()
     exits.push_async_callback(runner.cleanup)
     site = web.TCPSite(runner, ip, port, backlog=_BACKLOG)
--- a/lacewingpitch/platform/names.py
+++ b/lacewingpitch/platform/names.py
@@ -1,32 +1,32 @@
-"""Headers and paths of the platform's HTTP interfaces."""
+"""Names in the platform's HTTP interfaces: headers, paths and store keys."""
 
-# The caller's name of one attempt; an answer repeats it.
+# The caller's id of one attempt; the response repeats it.
 REQUEST_ID = 'Request-Id'
-# Time that the caller still waits.  An engine stops work at its end.
+# Time for which the caller still waits.  An engine stops work at its end.
 DEADLINE_MS = 'Deadline-Ms'
 RETRY_AFTER = 'Retry-After'
 LAST_EVENT_ID = 'Last-Event-Id'
 # MODEL or MODEL/ADAPTER.
 MODEL = 'Model'
-# Tokens of the prompt and most tokens of the answer, with a comma.
+# Tokens of the prompt and maximum tokens of the answer, separated by a comma.
 TOKENS = 'Token-Usage'
-# Tokens that the caller expects of the answer: right at the median.
+# Tokens that the caller expects in the answer; accurate in the median.
 EXPECTED_TOKENS = 'Length-Hint'
-# The incarnation that may run the request; any other refuses it.
+# The only incarnation that may run the request; any other refuses it.
 EXPECT_INCARNATION = 'Expect-Instance'
-# The adapter's version if the request names one, else the model's.
+# The version of the adapter if the request names one, else of the model.
 EXPECT_VERSION = 'Expect-Version'
 PRIORITY = 'Request-Priority'
-# The caller's key, after the name of the scheme.
+# The API key of the caller, after the name of the scheme.
 AUTHORIZATION = 'Authorization'
 AUTHORIZATION_SCHEME = 'token'
-# Towards engines: whose request it is.
+# In requests to engines: the organisation of the caller.
 ORGANISATION = 'Tenant'
-# On an answer: the engine has not run the request and never will.
+# In responses: the engine has not run the request and never will.
 NOT_RUN = 'Not-Executed'
 INCARNATION = 'Instance-Id'
 
-# Headers that concern one connection, and are not passed on.
+# Headers that concern a single connection, and are not forwarded.
 HOP_BY_HOP = frozenset(
     {
         'connection',
@@ -43,8 +43,8 @@
     }
 )
 
-# Headers by which a caller could have the engine keep or move memory, go
-# ahead of others, or be taken for another; they are the system's to set.
+# Headers that only this system may set.  With them, a caller could make the
+# engine keep or move memory, raise its priority, or impersonate another one.
 SYSTEM_ONLY = frozenset(
     {
         'expect-instance',
@@ -60,13 +60,13 @@
     }
 )
 
-# Not passed on where callers are known by their keys.
-KEYS = frozenset({'authorization'})
+# Not forwarded if callers are authenticated by their keys.
+CREDENTIALS = frozenset({'authorization'})
 
 REPORT_PATH = '/lacewingpitch/report'
 ORDER_PATH = '/lacewingpitch/order'
-# On all answers of the store: rises each time that it comes back from a
-# copy, with revisions that it gives out again.
+# In all responses of the store: its epoch, which rises each time that the
+# store is restored from a backup and uses revisions again.
 STORE_ERA = 'Store-Era'
 RANGE_PATH = '/lacewingpitch/kv-range'
 WATCH_PATH = '/lacewingpitch/kv-watch'
--- a/lacewingpitch/platform/process.py
+++ b/lacewingpitch/platform/process.py
@@ -1,4 +1,4 @@
-"""What an entry and a sidecar on the platform both begin with."""
+"""Components that entry and sidecar processes have in common."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class Process:
-    """Settings, clock, metrics, and what is published, of one process."""
+    """Clock, metrics, background tasks and published state of a process."""
 
     def __init__(
         self,
--- a/lacewingpitch/platform/response_delivery.py
+++ b/lacewingpitch/platform/response_delivery.py
@@ -1,4 +1,4 @@
-"""Delivers answers on the connections of their requests."""
+"""Delivery of answers as HTTP responses."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,18 @@
 
 
 class ResponseDelivery:
-    """Delivers one answer on the connection of its request."""
+    """Sends one answer on the connection of its request.
+
+    Parameters
+    ----------
+    is_draining
+        Returns whether the connection is to be closed after the answer.
+
+    Attributes
+    ----------
+    response
+        The HTTP response; ``None`` until one is started.
+    """
 
     def __init__(
         self, request: web.BaseRequest, is_draining: Callable[[], bool]
@@ -22,38 +33,38 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the head of an answer has been sent."""
+        """Whether the headers of an answer have been sent."""
         return self.response is not None
 
     async def send_whole(
         self, answer: backend_call.BackendAnswer, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         response = web.Response(status=answer.status, body=body)
         await self._begin(response, answer)
         await response.write_eof()
 
     async def begin(self, answer: backend_call.BackendAnswer) -> None:
-        """Send the head of a stream."""
+        """Send the headers of a stream."""
         await self._begin(web.StreamResponse(status=answer.status), answer)
 
     async def write(self, events: bytes) -> None:
-        """Send whole events of a stream."""
+        """Send complete events of a stream."""
         assert self.response is not None
         await self.response.write(events)
 
     async def finish(self) -> None:
-        """Mark a stream as complete."""
+        """End a stream, which marks it as complete."""
         assert self.response is not None
         await self.response.write_eof()
 
     async def refuse(
         self, error: errors.RefusalError, request_id: str
     ) -> None:
-        """Send a refusal; once an answer has begun, cut it instead."""
+        """Send a refusal; abort the answer instead if one has begun."""
         if self.response is not None:
-            # Closed without the mark of its end, the stream is seen as
-            # broken off and not as complete.
+            # Without the final chunk, the caller sees that the stream is
+            # incomplete.
             transport = self._request.transport
             if transport is not None:
                 transport.close()
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside a model engine on the platform."""
+"""Sidecar process: grants turns at a model engine and loads its adapters."""
 
 import aiohttp
 import structlog
@@ -18,14 +18,17 @@
 from lacewingpitch.platform import wire
 from lacewingpitch import usage_lease
 
-# Each waits for one turn.  More entries than this would wait at once only
-# where an engine is so overloaded that it refuses.
-_CONTROL_CONTEXTS = 256
+# Each control request waits for one turn.  More would wait at once only at an
+# engine that is overloaded enough to refuse them.
+_MAX_CONTROL_REQUESTS = 256
 log = structlog.get_logger(__name__)
 
 
 class Sidecar:
-    """Grants turns at one engine, and orders its adapters."""
+    """Grants turns at one engine, and orders it to load adapters.
+
+    A turn is a lease on one of the engine's concurrent execution slots.
+    """
 
     def __init__(
         self,
@@ -36,15 +39,15 @@
         self._process = process_module.Process(file, clock)
         self._control = link.ControlServer(
             settings_module.sealer(file.settings),
-            _CONTROL_CONTEXTS,
+            _MAX_CONTROL_REQUESTS,
         )
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         return {'control': self._control.port}
 
     async def start(self) -> None:
-        """Attach to the engine, and listen for entries."""
+        """Connect to the engine, and listen for entries."""
         settings = self._file.settings
         session = await self._process.exits.enter_async_context(
             aiohttp.ClientSession()
@@ -84,8 +87,8 @@
         self._control.handle(grant.TurnEnds, keeper.end)
         self._control.handle(grant.ConfigurationRequest, exchange.answer)
         self._control.handle(grant.ConfigurationOffer, exchange.accept)
-        limits = usage_lease.UsageOwner(self._process.clock)
-        self._control.handle(usage_lease.UsageAsk, limits.answer)
+        usage_owner = usage_lease.UsageOwner(self._process.clock)
+        self._control.handle(usage_lease.UsageAsk, usage_owner.answer)
         store = store_module.Store(
             session, settings_module.url_of(settings.store)
         )
@@ -102,8 +105,8 @@
             clock=self._process.clock,
             source=self._process.random,
         )
-        # What is published later comes with the messages of entries, so
-        # that calls to the store do not grow with the number of engines.
+        # Later changes arrive with the messages of entries, so that the
+        # calls to the store do not grow with the number of engines.
         self._process.background.run(
             'store',
             lambda: store_updates.dispatch_changes(
@@ -116,5 +119,5 @@
         self._process.exits.push_async_callback(self._control.close)
 
     async def close(self) -> None:
-        """Release everything; entries go on with what they were granted."""
+        """Release all resources; turns that were granted stay valid."""
         await self._process.exits.aclose()
--- a/lacewingpitch/platform/wire.py
+++ b/lacewingpitch/platform/wire.py
@@ -1,4 +1,4 @@
-"""Decoding of what the operator and the engines publish in the store."""
+"""Decoding of the values that operator and engines publish in the store."""
 
 from collections.abc import Iterable
 import math
@@ -14,16 +14,16 @@
 
 _MS_PER_S = 1000
 _TOKEN_UNIT = 'token_count'
-_KINDS = {
+_KIND_BY_TYPE = {
     'safe': routing.RequestKind.IDEMPOTENT,
     'unsafe': routing.RequestKind.AT_MOST_ONCE,
     'streaming': routing.RequestKind.STREAM,
 }
-# Whether a server of a state is leaving; any other state is not in use.
+# Whether a server in a state is leaving.  There are no other states.
 _IS_LEAVING = {'ready': False, 'draining': True}
 
 
-class _Share(msgspec.Struct, frozen=True):
+class _WeightedService(msgspec.Struct, frozen=True):
     service: str
     weight: float = 1.0
 
@@ -34,10 +34,10 @@
     prefix: str = msgspec.field(name='pathPrefix')
     kind: str = msgspec.field(name='type')
     timeout_ms: float = msgspec.field(name='timeoutMs')
-    # For a stream this is the time to its first event.
+    # For a stream, the time to its first event.
     target_ms: float = msgspec.field(name='targetLatencyMs', default=1000)
     service: str = ''
-    split: tuple[_Share, ...] = ()
+    split: tuple[_WeightedService, ...] = ()
     max_attempts: int = msgspec.field(name='maxAttempts', default=1)
     # 0 is the most urgent.
     priority: int = 0
@@ -53,12 +53,12 @@
 
 
 class _Engine(msgspec.Struct, frozen=True):
-    # Requests that are batched, not places for adapters.
+    # Requests that run concurrently, not adapter slots.
     slots: int
     models: tuple[_Model, ...] = ()
     adapter_slots: int = msgspec.field(name='adapterSlots', default=0)
-    # Of the engine: memory for models and adapters together.  Of a model
-    # the same name says what it takes.
+    # Memory of the engine for models and adapters together.  In a model, the
+    # field of the same name is the memory that the model takes.
     weights_mb: float = msgspec.field(name='weightsMb', default=math.inf)
 
 
@@ -78,11 +78,11 @@
 class _Tenant(msgspec.Struct, frozen=True):
     name: str
     keys: tuple[str, ...] = msgspec.field(name='apiKeys', default=())
-    # Goes before the priority of the route.
+    # Overrides the priority of the route.
     priority: int | None = None
-    # What `ratePerS` and `burst` count; requests where it is absent.
+    # Unit of `ratePerS` and `burst`; requests if it is absent.
     unit: str = ''
-    # What a request counts that does not say its tokens.
+    # Tokens charged for a request that does not state any.
     unstated_tokens: float = msgspec.field(name='uncachedTokens', default=1)
     # 0 for no limit.
     rate_per_s: float = msgspec.field(name='ratePerS', default=0)
@@ -94,17 +94,17 @@
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...] = ()
     limits: _Limits = _Limits()
-    # Where the field is there, callers need a key, also if it is empty.
+    # If the field is present, even if empty, callers need a key.
     tenants: tuple[_Tenant, ...] | None = None
 
 
 class HeldModel(msgspec.Struct, frozen=True):
-    """A model that an engine holds, with its adapters.
+    """A model loaded in an engine, with its adapters.
 
     Parameters
     ----------
     adapters
-        Each as NAME@VERSION.
+        Adapters, each as NAME@VERSION.
     """
 
     name: str
@@ -117,11 +117,11 @@
     # IP:PORT.
     address: str
     zone: str
-    # Requests that are worked on at once.
+    # Requests that run concurrently.
     slots: int
     state: str
     models: tuple[HeldModel, ...] = ()
-    # Unix ms of its start; 0 where engines do not say it.
+    # Unix time of its start in ms; 0 if engines do not report it.
     born: int = 0
 
 
@@ -132,18 +132,20 @@
 
 
 def decode_configuration(content: bytes) -> routing.Configuration:
-    """Return the published configuration.
+    """Decode the published configuration.
 
     Raises
     ------
     PlatformError
-        It cannot be read.
+        It is malformed.
     """
     found = _decode(content, _Configuration, 'configuration')
     return routing.Configuration(
         version=found.version,
         routes=tuple(
-            _route(route) for route in found.routes if route.kind in _KINDS
+            _route(route)
+            for route in found.routes
+            if route.kind in _KIND_BY_TYPE
         ),
         engines={
             service.name: routing.EngineLimits(
@@ -177,12 +179,12 @@
 def decode_backend_server(
     name: str, content: bytes, created_revision: int
 ) -> backend_list.BackendServer:
-    """Return the backend server that an entry of the list describes.
+    """Decode an entry of the list of backend servers.
 
     Raises
     ------
     PlatformError
-        It cannot be read.
+        It is malformed, or its state is unknown.
     """
     found = _decode(content, _BackendServer, name)
     try:
@@ -207,38 +209,38 @@
 
 
 def decode_adapter_version(content: bytes) -> tuple[str, str, int]:
-    """Return model, adapter and version of a published adapter version.
+    """Decode an adapter version; return model, adapter and version.
 
     Raises
     ------
     PlatformError
-        It cannot be read.
+        It is malformed.
     """
     found = _decode(content, _AdapterVersion, 'adapter version')
     return found.model, found.adapter, found.version
 
 
 def held_versions(models: Iterable[HeldModel]) -> dict[str, int]:
-    """Return the versions of the adapters held, by MODEL/ADAPTER."""
+    """Return the versions of the loaded adapters by MODEL/ADAPTER."""
     held = {}
     for model in models:
         for listed in model.adapters:
             adapter, _, version = listed.rpartition('@')
-            held[f'{model.name}/{adapter}'] = _whole_number(version)
+            held[f'{model.name}/{adapter}'] = _parse_version(version)
     return held
 
 
 def pending_versions(pending: Iterable[str]) -> dict[str, int]:
-    """Return the same of adapters listed as MODEL/NAME@VERSION."""
+    """Return versions by MODEL/ADAPTER from a list of MODEL/NAME@VERSION."""
     found = {}
     for listed in pending:
         key, _, version = listed.rpartition('@')
-        found[key] = _whole_number(version)
+        found[key] = _parse_version(version)
     return found
 
 
 def _route(found: _Route) -> routing.Route:
-    shares = found.split or (_Share(found.service),)
+    shares = found.split or (_WeightedService(found.service),)
     return routing.Route(
         name=found.name,
         host=found.host,
@@ -247,7 +249,7 @@
             routing.WeightedService(share.service, share.weight)
             for share in shares
         ),
-        kind=_KINDS[found.kind],
+        kind=_KIND_BY_TYPE[found.kind],
         timeout_s=found.timeout_ms / _MS_PER_S,
         target_latency_s=found.target_ms / _MS_PER_S,
         max_attempts=found.max_attempts,
@@ -286,7 +288,7 @@
     )
 
 
-def _whole_number(text: str) -> int:
+def _parse_version(text: str) -> int:
     return int(text) if text.isdecimal() else 0
 
 
