--- a/lacewingpitch/turn_queue.py
+++ b/lacewingpitch/turn_queue.py
@@ -1,4 +1,7 @@
-"""Hands the turns of one backend server to the requests that wait."""
+"""Bounded queue of requests for the turns of one backend server.
+
+A turn is a lease on one of a backend server's concurrent execution slots.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Iterator
@@ -19,43 +22,45 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Waiter:
-    """One request from its arrival to the end of its turn.
+    """A request from its arrival to the end of its turn.
 
     Parameters
     ----------
     cost_s
-        Seconds for which it is expected to keep its turn.
-    placed
-        Done when it gets its place; fails when it is refused.
+        Expected duration of its turn.
+    reserved
+        Resolved when the request gets its reservation; fails when the
+        request is refused.
     turn
-        Done when it gets its turn; fails when it is refused.
+        Resolved when the request gets its turn; fails when the request
+        is refused.
     """
 
     order: work.WorkOrder
     arrived_s: float
     cost_s: float
-    placed: asyncio.Future[None]
+    reserved: asyncio.Future[None]
     turn: asyncio.Future[None]
-    placed_s: float = 0.0
+    reserved_s: float = 0.0
     started_s: float = 0.0
     used_s: float = 0.0
 
     @property
     def start_by_s(self) -> float:
-        """Return the time by which it must have its turn."""
+        """Return the time by which the turn must have started."""
         return self.arrived_s + self.order.deadline_s
 
 
 @dataclasses.dataclass(slots=True)
 class _Backlog:
-    """One customer's requests that wait, and how fast they get turns.
+    """One customer's queued requests and its measured service rate.
 
     Parameters
     ----------
     granted_s
-        Turn seconds given to the customer from `since_s` to `until_s`.
-    late_wait_s
-        What its newest request would wait, believed to `late_until_s`.
+        Turn seconds granted to the customer from `since_s` to `until_s`.
+    cached_wait_s
+        Estimated wait of its newest request, valid to `cached_until_s`.
     """
 
     since_s: float
@@ -63,10 +68,10 @@
     count: int = 0
     granted_count: int = 0
     granted_s: float = 0.0
-    late_wait_s: float = 0.0
-    late_until_s: float = 0.0
+    cached_wait_s: float = 0.0
+    cached_until_s: float = 0.0
 
-    def grant(self, cost_s: float, now_s: float) -> None:
+    def record_grant(self, cost_s: float, now_s: float) -> None:
         self.until_s = now_s
         self.granted_count += 1
         self.granted_s += cost_s
@@ -75,45 +80,48 @@
             self.since_s = now_s - age_s / 2
             self.granted_s /= 2
 
-    def wait_s(self, ahead_s: float) -> float:
-        """Return the wait behind `ahead_s` turn seconds of its own."""
+    def estimate_wait_s(self, ahead_s: float) -> float:
+        """Return the wait behind `ahead_s` turn seconds of this customer.
+
+        It is 0 while there are too few grants to measure the rate.
+        """
         if self.granted_count < _MIN_GRANTED_COUNT:
             return 0.0
         return ahead_s * (self.until_s - self.since_s) / self.granted_s
 
 
 class Order(Protocol):
-    """Decides which waiting request gets the next place."""
+    """Queue discipline: selects the request that is reserved next."""
 
     def add(self, waiter: Waiter) -> None:
-        """Take note of a request that waits."""
+        """Enqueue a request."""
         ...
 
     def remove(self, waiter: Waiter) -> None:
-        """Forget a request that waits no longer and got no place."""
+        """Remove a request that leaves without a reservation."""
         ...
 
     def take(self) -> Waiter:
-        """Return the request that gets a place; at least one waits."""
+        """Remove and return the next request; one must be queued."""
         ...
 
     def finish(self, waiter: Waiter, used_s: float) -> None:
-        """Take note that a place is free, and how long its turn was."""
+        """Release a reservation and account the duration of its turn."""
         ...
 
     def forecast(self) -> Iterator[Waiter]:
-        """Yield those waiting in their order, if nobody else came."""
+        """Yield the queued requests in order, as if no more arrived."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueLoad:
-    """How much work a queue has, as a hint for whoever sends more.
+    """Load of a queue, as reported to senders in hints.
 
     Parameters
     ----------
     estimated_wait_s
-        Wait of a request that came now and went last.
+        Wait of a request that arrives now and is served last.
     """
 
     queued_count: int
@@ -122,48 +130,50 @@
 
 
 class Place:
-    """The place of one request, which it keeps while it prepares."""
+    """A request's reservation, kept while the request prepares."""
 
     def __init__(self, queue: 'TurnQueue', waiter: Waiter) -> None:
         self._queue = queue
         self._waiter = waiter
 
     def turn(self) -> contextlib.AbstractAsyncContextManager[None]:
-        """Wait for a turn and keep it while the context lasts.
+        """Acquire a turn and hold it while the context is open.
 
         Raises
         ------
         RefusalError
-            The turn would come after the deadline; the request did
+            The turn would start after the deadline; the request did
             not run.
         """
         return self._queue.turn(self._waiter)
 
 
-def _prepared(_order: work.WorkOrder) -> float:
+def _no_preparation(_order: work.WorkOrder) -> float:
     return 0.0
 
 
 class TurnQueue:
     """Bounded queue for the turns of one backend server.
 
-    A request waits for a place, prepares, such as by getting its
-    adapter, and then waits for its turn.  There are a few more places
-    than turns, so that some prepare while others run.  Places go by the
-    order, turns to whoever is prepared first.
+    A request waits for a reservation, prepares (for example by loading
+    its adapter), and then waits for its turn.  There are a few more
+    reservations than turns, so that some requests prepare while others
+    run.  The queue discipline assigns reservations; turns go to requests
+    in the order in which they finish preparing.
 
     Parameters
     ----------
     turn_count
-        Requests that may have a turn at once.
+        Maximum number of concurrent turns.
     lookahead_count
-        Places beyond the turns.
+        Reservations beyond the turns.
     max_queued
-        Requests that may wait for a place, over all customers.
+        Maximum number of requests without a reservation, over all
+        customers.
     order
-        Who goes first.
+        Queue discipline.
     prepare_wait_s
-        How long a request that came now would prepare.
+        Returns how long a request that arrives now would prepare.
     """
 
     def __init__(
@@ -173,17 +183,17 @@
         max_queued: int,
         order: Order,
         clock: clock_module.Clock,
-        prepare_wait_s: Callable[[work.WorkOrder], float] = _prepared,
+        prepare_wait_s: Callable[[work.WorkOrder], float] = _no_preparation,
     ) -> None:
         self._prepare_wait_s = prepare_wait_s
         self._turn_count = turn_count
-        self._place_count = turn_count + lookahead_count
+        self._max_reserved = turn_count + lookahead_count
         self._max_queued = max_queued
         self._order = order
         self._clock = clock
         self._turn_times = turn_time.TurnTimes()
         self._waiting: dict[Waiter, None] = {}
-        self._placed: dict[Waiter, None] = {}
+        self._reserved: dict[Waiter, None] = {}
         self._prepared: dict[Waiter, None] = {}
         self._running: dict[Waiter, None] = {}
         self._backlogs: dict[str, _Backlog] = {}
@@ -191,8 +201,8 @@
 
     @property
     def queued(self) -> int:
-        """Return how many requests wait, with or without a place."""
-        return len(self._waiting) + len(self._placed) - len(self._running)
+        """Return how many requests wait, with or without a reservation."""
+        return len(self._waiting) + len(self._reserved) - len(self._running)
 
     @property
     def running(self) -> int:
@@ -201,38 +211,38 @@
 
     @property
     def turn_count(self) -> int:
-        """Return how many requests may have a turn at once."""
+        """Return the maximum number of concurrent turns."""
         return self._turn_count
 
     def load(self) -> QueueLoad:
-        """Return how much work there is, for hints."""
-        return QueueLoad(self.queued, self.running, self._wait_of_last())
+        """Return the current load, for hints."""
+        return QueueLoad(self.queued, self.running, self._wait_at_tail_s())
 
     @contextlib.asynccontextmanager
     async def place(self, order: work.WorkOrder) -> AsyncIterator[Place]:
-        """Wait for a place and keep it while the context lasts.
+        """Acquire a reservation and hold it while the context is open.
 
         Raises
         ------
         RefusalError
-            The queue is full, or the turn would come after the
+            The queue is full, or the turn would start after the
             deadline.  The request did not run.
         """
         waiter = self._enter(order)
-        # A caller can hang up in the moment between being given the
-        # place and waking up.  The place would be lost for good, and
-        # with each such caller the backend server would get slower.
+        # A caller may disconnect after it got the reservation and before
+        # its task resumes.  Without the cleanup each such reservation
+        # would leak, and the backend server would lose capacity.
         try:
-            await waiter.placed
+            await waiter.reserved
             yield Place(self, waiter)
         finally:
             self._leave(waiter)
 
     @contextlib.asynccontextmanager
     async def turn(self, waiter: Waiter) -> AsyncIterator[None]:
-        """Wait for a turn; see `Place.turn`."""
+        """Acquire a turn; see `Place.turn`."""
         self._prepared[waiter] = None
-        self._give_turns()
+        self._grant_turns()
         try:
             await waiter.turn
             yield
@@ -240,7 +250,7 @@
             self._end_turn(waiter)
 
     def _enter(self, order: work.WorkOrder) -> Waiter:
-        self._check_bounds(order)
+        self._check_limits(order)
         loop = asyncio.get_running_loop()
         waiter = Waiter(
             order,
@@ -250,44 +260,44 @@
             loop.create_future(),
         )
         self._add(waiter)
-        if len(self._placed) >= self._turn_count:
-            self._check_in_time(waiter)
-        self._give_places()
+        if len(self._reserved) >= self._turn_count:
+            self._check_deadline(waiter)
+        self._assign_reservations()
         self._schedule_recheck()
         return waiter
 
-    def _check_in_time(self, waiter: Waiter) -> None:
-        # A customer's wait is kept for a moment, its adapter's is not:
-        # each of its requests may need another one.
+    def _check_deadline(self, waiter: Waiter) -> None:
+        # The customer's wait is cached, the adapter's is not: each request
+        # of a customer may need another adapter.
         prepare_s = self._prepare_wait_s(waiter.order)
-        wait_s = max(self._wait_of(waiter), prepare_s)
-        if not self._is_in_time(waiter, wait_s):
+        wait_s = max(self._estimate_wait_s(waiter), prepare_s)
+        if not self._meets_deadline(waiter, wait_s):
             self._remove(waiter)
-            raise self._too_late(waiter, wait_s)
+            raise self._deadline_error(waiter, wait_s)
 
-    def _wait_of(self, waiter: Waiter) -> float:
-        # A flood of requests that are refused would cost a pass over
-        # the queue each, and the processor time of those that are not.
-        # The wait found last is as good for a moment, and for no longer
-        # than until its caller was told to come back.
+    def _estimate_wait_s(self, waiter: Waiter) -> float:
+        # Without the cache each refused request of a flood would cost a
+        # pass over the queue, and take processor time from the requests
+        # that are accepted.  The cached wait expires at the latest when
+        # the refused caller may retry.
         backlog = self._backlogs[waiter.order.customer]
-        if waiter.arrived_s < backlog.late_until_s:
-            return backlog.late_wait_s
+        if waiter.arrived_s < backlog.cached_until_s:
+            return backlog.cached_wait_s
         wait_s = next(s for w, s in self._forecast() if w is waiter)
         retry_after_s = wait_s - waiter.order.deadline_s
-        backlog.late_until_s = waiter.arrived_s + min(
+        backlog.cached_until_s = waiter.arrived_s + min(
             RECHECK_INTERVAL_S, retry_after_s
         )
-        backlog.late_wait_s = wait_s
+        backlog.cached_wait_s = wait_s
         return wait_s
 
     def _leave(self, waiter: Waiter) -> None:
         if waiter in self._waiting:
             self._remove(waiter)
-        elif waiter in self._placed:
-            del self._placed[waiter]
+        elif waiter in self._reserved:
+            del self._reserved[waiter]
             self._order.finish(waiter, waiter.used_s)
-            self._give_places()
+            self._assign_reservations()
 
     def _add(self, waiter: Waiter) -> None:
         self._waiting[waiter] = None
@@ -301,39 +311,39 @@
 
     def _remove(self, waiter: Waiter) -> None:
         self._order.remove(waiter)
-        self._forget_waiting(waiter)
+        self._discard_waiting(waiter)
 
-    def _forget_waiting(self, waiter: Waiter) -> None:
+    def _discard_waiting(self, waiter: Waiter) -> None:
         del self._waiting[waiter]
         customer = waiter.order.customer
         self._backlogs[customer].count -= 1
         if not self._backlogs[customer].count:
             del self._backlogs[customer]
 
-    def _queued_of(self, customer: str) -> int:
+    def _waiting_count(self, customer: str) -> int:
         backlog = self._backlogs.get(customer)
         return backlog.count if backlog else 0
 
-    def _has_free_place(self) -> bool:
-        return len(self._placed) < self._place_count
+    def _can_reserve(self) -> bool:
+        return len(self._reserved) < self._max_reserved
 
-    def _give_places(self) -> None:
-        while self._waiting and self._has_free_place():
+    def _assign_reservations(self) -> None:
+        while self._waiting and self._can_reserve():
             waiter = self._order.take()
-            waiter.placed_s = self._clock.monotonic_s()
+            waiter.reserved_s = self._clock.monotonic_s()
             backlog = self._backlogs[waiter.order.customer]
-            backlog.grant(waiter.cost_s, waiter.placed_s)
-            self._forget_waiting(waiter)
-            self._placed[waiter] = None
-            _settle(waiter.placed)
+            backlog.record_grant(waiter.cost_s, waiter.reserved_s)
+            self._discard_waiting(waiter)
+            self._reserved[waiter] = None
+            _resolve(waiter.reserved)
 
-    def _give_turns(self) -> None:
+    def _grant_turns(self) -> None:
         while self._prepared and len(self._running) < self._turn_count:
             waiter = next(iter(self._prepared))
             del self._prepared[waiter]
             waiter.started_s = self._clock.monotonic_s()
             self._running[waiter] = None
-            _settle(waiter.turn)
+            _resolve(waiter.turn)
 
     def _end_turn(self, waiter: Waiter) -> None:
         self._prepared.pop(waiter, None)
@@ -342,48 +352,48 @@
         del self._running[waiter]
         waiter.used_s = self._clock.monotonic_s() - waiter.started_s
         self._turn_times.learn(waiter.order, waiter.used_s)
-        self._give_turns()
+        self._grant_turns()
 
-    def _check_bounds(self, order: work.WorkOrder) -> None:
+    def _check_limits(self, order: work.WorkOrder) -> None:
         customer = order.customer
-        if self._has_free_place():
+        if self._can_reserve():
             return
-        if self._queued_of(customer) >= order.queued_requests:
+        if self._waiting_count(customer) >= order.queued_requests:
             raise errors.RefusalError(
                 errors.ErrorKind.QUEUE_FULL,
-                'too many requests of this customer wait here',
-                retry_after_s=self._wait_of_first(customer),
+                'the customer has too many queued requests',
+                retry_after_s=self._wait_at_head_s(customer),
             )
         if len(self._waiting) >= self._max_queued:
-            self._make_room(order)
+            self._evict_from_longest_queue(order)
 
-    def _make_room(self, order: work.WorkOrder) -> None:
-        # One customer's burst can fill the queue while its own bound
-        # still allows it; others would be refused for its sake.  The
-        # newest request of the longest queue, by weight, gives way.
+    def _evict_from_longest_queue(self, order: work.WorkOrder) -> None:
+        # A burst of one customer can fill the queue while it is within the
+        # customer's own limit.  Evicting the newest request of the longest
+        # queue by weight keeps the burst from refusing other customers.
         victim = self._newest_of_longest_queue()
         customer = order.customer
-        length = self._queued_of(customer) + 1
-        if self._relative_length(victim) > length / order.weight:
-            error = self._queue_full()
+        length = self._waiting_count(customer) + 1
+        if self._weighted_length(victim) > length / order.weight:
+            error = self._queue_full_error()
             self._remove(victim)
-            _settle(victim.placed, error)
+            _resolve(victim.reserved, error)
             return
-        raise self._queue_full()
+        raise self._queue_full_error()
 
     def _newest_of_longest_queue(self) -> Waiter:
         newest = {w.order.customer: w for w in self._waiting}
-        return max(newest.values(), key=self._relative_length)
+        return max(newest.values(), key=self._weighted_length)
 
-    def _relative_length(self, waiter: Waiter) -> float:
-        length = self._queued_of(waiter.order.customer)
+    def _weighted_length(self, waiter: Waiter) -> float:
+        length = self._waiting_count(waiter.order.customer)
         return length / waiter.order.weight
 
-    def _queue_full(self) -> errors.RefusalError:
+    def _queue_full_error(self) -> errors.RefusalError:
         return errors.RefusalError(
             errors.ErrorKind.QUEUE_FULL,
-            'too many requests wait here',
-            retry_after_s=self._wait_of_first(None),
+            'the queue is full',
+            retry_after_s=self._wait_at_head_s(None),
         )
 
     def _schedule_recheck(self) -> None:
@@ -393,25 +403,26 @@
             )
 
     def _recheck(self) -> None:
-        # The estimate made on arrival can worsen: the engine slows down
-        # or stops, or others go ahead.  Callers would learn only at
-        # their deadline that they had waited for nothing.
+        # The estimate made on arrival worsens when the engine slows down
+        # or stops, or when other requests go ahead.  Without this check
+        # callers would learn only at their deadline that they get no turn.
         self._recheck_timer = None
         waits = [
-            (waiter, max(wait_s, self._left_to_prepare_s(waiter)))
+            (waiter, max(wait_s, self._remaining_preparation_s(waiter)))
             for waiter, wait_s in self._forecast()
         ]
         late = [
             (waiter, wait_s)
             for waiter, wait_s in waits
-            if not self._is_in_time(waiter, wait_s)
+            if not self._meets_deadline(waiter, wait_s)
         ]
         for waiter, wait_s in late:
-            self._refuse(waiter, self._too_late(waiter, wait_s))
+            self._refuse(waiter, self._deadline_error(waiter, wait_s))
         self._schedule_recheck()
 
-    def _left_to_prepare_s(self, waiter: Waiter) -> float:
-        # Who has a place is told by what it prepares with.
+    def _remaining_preparation_s(self, waiter: Waiter) -> float:
+        # A request with a reservation is already preparing; the component
+        # that prepares it reports a missed deadline itself.
         if waiter not in self._waiting:
             return 0.0
         return self._prepare_wait_s(waiter.order)
@@ -419,16 +430,18 @@
     def _refuse(self, waiter: Waiter, error: errors.RefusalError) -> None:
         if waiter in self._waiting:
             self._remove(waiter)
-            _settle(waiter.placed, error)
+            _resolve(waiter.reserved, error)
         elif waiter in self._prepared:
             del self._prepared[waiter]
-            _settle(waiter.turn, error)
+            _resolve(waiter.turn, error)
 
-    def _is_in_time(self, waiter: Waiter, wait_s: float) -> bool:
+    def _meets_deadline(self, waiter: Waiter, wait_s: float) -> bool:
         return self._clock.monotonic_s() + wait_s <= waiter.start_by_s
 
-    def _too_late(self, waiter: Waiter, wait_s: float) -> errors.RefusalError:
-        # Coming back then, with its whole deadline, it starts in time.
+    def _deadline_error(
+        self, waiter: Waiter, wait_s: float
+    ) -> errors.RefusalError:
+        # A retry after this time, with a full deadline, starts in time.
         return errors.RefusalError(
             errors.ErrorKind.DEADLINE_UNREACHABLE,
             'no turn before the deadline',
@@ -436,14 +449,18 @@
         )
 
     def _forecast(self) -> Iterator[tuple[Waiter, float]]:
-        """Yield those without a turn, with the time until they have it."""
-        # Who waits now says too little: others will come and go ahead
-        # of a customer that sends more than its share.  What its queue
-        # got of late tells how fast it really moves.
+        """Yield each request without a turn and the expected wait for it.
+
+        Requests that are already late take no turn in the forecast.
+        """
+        # The current queue alone underestimates the wait of a customer
+        # that sends more than its share, because requests of others arrive
+        # later and go ahead.  The customer's recent grant rate shows how
+        # fast its queue moves.
         now_s = self._clock.monotonic_s()
-        free_in_s = self._free_in_s()
+        free_in_s = self._turns_free_in_s()
         ahead_s = dict.fromkeys(self._backlogs, 0.0)
-        for waiter in self._placed:
+        for waiter in self._reserved:
             if waiter not in self._running:
                 yield waiter, free_in_s[0]
                 heapq.heapreplace(free_in_s, free_in_s[0] + waiter.cost_s)
@@ -451,14 +468,15 @@
             customer = waiter.order.customer
             wait_s = max(
                 free_in_s[0],
-                self._backlogs[customer].wait_s(ahead_s[customer]),
+                self._backlogs[customer].estimate_wait_s(ahead_s[customer]),
             )
             yield waiter, wait_s
             if now_s + wait_s <= waiter.start_by_s:
                 ahead_s[customer] += waiter.cost_s
                 heapq.heapreplace(free_in_s, free_in_s[0] + waiter.cost_s)
 
-    def _free_in_s(self) -> list[float]:
+    def _turns_free_in_s(self) -> list[float]:
+        """Return a heap of the times until each turn is free."""
         now_s = self._clock.monotonic_s()
         times = [self._remaining_s(w, now_s) for w in self._running]
         times += [0.0] * (self._turn_count - len(times))
@@ -466,32 +484,36 @@
         return times
 
     def _remaining_s(self, waiter: Waiter, now_s: float) -> float:
-        # A turn that is overdue by some time is expected to last as long
-        # again, so that a stalled engine worsens every estimate.
+        # An overdue turn is expected to last as long again as it is
+        # overdue, so that a stalled engine worsens every estimate.
         expected_s = self._turn_times.predict_s(waiter.order)
         return abs(expected_s - (now_s - waiter.started_s))
 
-    def _wait_of_first(self, customer: str | None) -> float:
+    def _wait_at_head_s(self, customer: str | None) -> float:
+        """Return the wait of a customer's first request without reservation.
+
+        ``None`` stands for any customer.
+        """
         for waiter, wait_s in self._forecast():
-            is_asked = customer in (None, waiter.order.customer)
-            if is_asked and waiter in self._waiting:
+            is_match = customer in (None, waiter.order.customer)
+            if is_match and waiter in self._waiting:
                 return wait_s
         return 0.0
 
-    def _wait_of_last(self) -> float:
-        free_in_s = self._free_in_s()
-        for waiter in (*self._placed, *self._waiting):
+    def _wait_at_tail_s(self) -> float:
+        free_in_s = self._turns_free_in_s()
+        for waiter in (*self._reserved, *self._waiting):
             if waiter not in self._running:
                 heapq.heapreplace(free_in_s, free_in_s[0] + waiter.cost_s)
         return free_in_s[0]
 
 
-def _settle(
+def _resolve(
     future: asyncio.Future[None], error: errors.RefusalError | None = None
 ) -> None:
-    # The future of a caller that hung up is cancelled before its task
-    # wakes up and leaves; settling it again would break the loop that
-    # serves the others.
+    # The future of a disconnected caller is cancelled before its task
+    # resumes and leaves the queue.  Resolving it again would raise in the
+    # task of another request.
     if future.done():
         return
     if error is None:
