--- a/lacewingpitch/turn_source.py
+++ b/lacewingpitch/turn_source.py
@@ -1,4 +1,4 @@
-"""Where an entry gets turns at model engines from."""
+"""Acquires turns at model engines from their sidecars."""
 
 from collections.abc import (
     AsyncIterator,
@@ -26,25 +26,36 @@
 from lacewingpitch import wanted_turn
 
 _MS_PER_S = 1000
-# A sidecar replies at once or says within this time that the turn is
-# still waited for, so that a longer silence tells of its loss.  Most
-# loads of an adapter end within it, which saves a second message.
+# A sidecar replies within this time, if only that the turn is pending, so
+# that a longer silence means that it is lost.  Most adapter loads finish
+# within it, which saves a second message.
 _REPLY_WITHIN_S = 0.4
-# Beyond the round trip, for a sidecar on a share of a core that is busy.
-_SILENT_AFTER_S = _REPLY_WITHIN_S + 0.25
-# The first engine that is asked will do where the request would wait no
-# longer than this share of its time: for a load, but for no place as well.
-# Otherwise each candidate says what it would wait there, and the soonest
-# gets it.
-_SOON_TARGET_RATIO = 0.5
-# An engine that restarts is listed again once it has started.
-_NO_ENGINE_RETRY_S = 1.5
+# Added to the wait that a request allows the sidecar: covers the round trip,
+# and a sidecar whose share of a core is busy.
+_REPLY_MARGIN_S = _REPLY_WITHIN_S + 0.25
+# An engine is accepted without comparing others if the request would wait
+# there for at most this share of its remaining time: enough for a load, but
+# not for an adapter slot as well.  Otherwise each candidate reports its
+# expected wait, and the shortest one gets the request.
+_ACCEPT_TARGET_RATIO = 0.5
+# A restarting engine is listed again once it has started.
+_NO_ENGINE_RETRY_AFTER_S = 1.5
 log = structlog.get_logger(__name__)
 
 
 @dataclasses.dataclass(slots=True)
-class _Asked:
-    """What the sidecars said that were asked for one request."""
+class _Replies:
+    """Replies of the sidecars that were tried for one request.
+
+    Parameters
+    ----------
+    starting
+        Servers whose engine is starting.
+    refused_waits_s
+        Expected wait at each server that refused the request, by name.
+    fallback
+        Turn without the consent of a sidecar that does not answer.
+    """
 
     refusals: list[errors.RefusalError] = dataclasses.field(
         default_factory=list
@@ -52,14 +63,12 @@
     starting: list[backend_list.BackendServer] = dataclasses.field(
         default_factory=list
     )
-    # What the request would wait at those that refused it, by name.
-    waits_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    # A turn without the consent of a sidecar that is silent.
+    refused_waits_s: dict[str, float] = dataclasses.field(default_factory=dict)
     fallback: wanted_turn.Turn | None = None
 
     @property
     def are_all_starting(self) -> bool:
-        """Whether no engine serves, and each that was asked starts."""
+        """Whether every server that was tried has a starting engine."""
         return len(self.starting) == len(self.refusals) > 0
 
 
@@ -69,24 +78,24 @@
     async def ask_turn(
         self, ip: str, request: grant.TurnRequest, timeout_s: float
     ) -> grant.TurnReply:
-        """Ask for a turn."""
+        """Request a turn."""
         ...
 
 
 class TurnSource:
-    """Chooses an engine for a request, and asks its sidecar for a turn.
+    """Selects an engine for a request and acquires a turn from its sidecar.
 
     Parameters
     ----------
     instance
         Name of this entry.
-    note_configuration
-        Called with the configuration version of each sidecar that
-        replies.
-    note_entries
-        Called with how many entries ask it.
+    on_configuration_version
+        Called with a sidecar's IP and its configuration version on each
+        reply.
+    on_entry_count
+        Called with the number of entries that use the replying sidecar.
     suspects
-        Requests that crash engines.
+        Requests that are suspected to crash engines.
     """
 
     def __init__(
@@ -97,18 +106,18 @@
         placement: placement_module.Placement,
         ejector: ejection.Ejector,
         clock: clock_module.Clock,
-        note_configuration: Callable[[str, int], None],
-        note_entries: Callable[[int], None],
+        on_configuration_version: Callable[[str, int], None],
+        on_entry_count: Callable[[int], None],
         suspects: suspects_module.Suspects,
     ) -> None:
         self._instance = instance
-        self._note_entries = note_entries
+        self._on_entry_count = on_entry_count
         self._link = link
         self._servers = servers
         self._placement = placement
         self._ejector = ejector
         self._clock = clock
-        self._note_configuration = note_configuration
+        self._on_configuration_version = on_configuration_version
         self._candidates = turn_candidates.TurnCandidates(
             servers, placement, ejector
         )
@@ -119,17 +128,17 @@
     async def turn(
         self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
     ) -> AsyncIterator[wanted_turn.Turn]:
-        """Get a turn and keep it while the context lasts.
+        """Acquire a turn and hold it while the context is open.
 
         Parameters
         ----------
         excluded
-            Backend servers that the request must not go to again.
+            Backend servers that the request must not be sent to again.
 
         Raises
         ------
         RefusalError
-            No engine can take the request in time; it did not run.
+            No engine can run the request in time; it did not run.
         """
         turn, is_granted = await self._acquire(wanted, excluded)
         try:
@@ -140,7 +149,7 @@
                 self._ended.note(turn.server.ip, wanted.turn_id, turn.server)
 
     async def run(self) -> None:
-        """Tell the sidecars which turns have ended, for ever."""
+        """Report ended turns to the sidecars until cancelled."""
         await self._ended.run()
 
     async def _acquire(
@@ -151,88 +160,98 @@
             raise isolation.refused(self._suspects.record, wanted.fingerprint)
         if handling is crash_record.Handling.ISOLATED:
             return await self._acquire_isolated(wanted, excluded), True
-        asked = _Asked()
+        replies = _Replies()
         candidates = self._candidates.to_ask(wanted, excluded)
-        soon_s = self._soon_s(wanted) if len(candidates) > 1 else 0.0
+        acceptable_s = (
+            self._acceptable_wait_s(wanted) if len(candidates) > 1 else 0.0
+        )
         for server in candidates:
-            turn = await self._try(server, wanted, asked, soon_s)
+            turn = await self._try_server(
+                server, wanted, replies, acceptable_s
+            )
             if turn is not None:
                 return turn, True
-            if self._left_s(wanted) <= 0.0:
+            if self._remaining_s(wanted) <= 0.0:
                 break
-        turn = await self._try_soonest(candidates, wanted, asked)
+        turn = await self._try_shortest_wait(candidates, wanted, replies)
         if turn is not None:
             return turn, True
-        fallback = asked.fallback
-        if fallback is None and not asked.refusals:
+        fallback = replies.fallback
+        if fallback is None and not replies.refusals:
             fallback = self._candidates.any_holding(wanted, excluded)
         if fallback is not None:
             return fallback, False
-        if asked.are_all_starting:
-            return await self._await_start(asked.starting[0], wanted), True
-        raise _soonest(asked.refusals)
+        if replies.are_all_starting:
+            return await self._await_start(replies.starting[0], wanted), True
+        raise _earliest_retry(replies.refusals)
 
     async def _acquire_isolated(
         self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
     ) -> wanted_turn.Turn:
-        """Get a turn at the one engine that suspect requests go to."""
+        """Acquire a turn at the one engine that runs suspect requests."""
         server = self._candidates.isolated(wanted, excluded)
         if server is None:
-            raise _soonest([])
+            raise _earliest_retry([])
         log.info(
-            'suspect isolated',
+            'suspect request isolated',
             request_id=wanted.run_id,
             fingerprint=wanted.fingerprint,
             backend_server=server.name,
         )
         try:
-            return await self._ask(server, wanted, _Asked(), is_isolated=True)
+            return await self._request(
+                server, wanted, _Replies(), is_isolated=True
+            )
         except errors.NoReplyError as error:
-            self._note_silent(server, wanted, error)
-            raise _soonest([]) from error
+            self._record_silence(server, wanted, error)
+            raise _earliest_retry([]) from error
 
-    def _soon_s(self, wanted: wanted_turn.WantedTurn) -> float:
-        """Return the wait with which the first engine asked will do."""
-        left_s = wanted.target_at_s - self._clock.monotonic_s()
-        return max(0.0, _SOON_TARGET_RATIO * left_s)
+    def _acceptable_wait_s(self, wanted: wanted_turn.WantedTurn) -> float:
+        """Return the wait up to which an engine is accepted at once."""
+        remaining_s = wanted.target_at_s - self._clock.monotonic_s()
+        return max(0.0, _ACCEPT_TARGET_RATIO * remaining_s)
 
-    async def _try_soonest(
+    async def _try_shortest_wait(
         self,
         candidates: Sequence[backend_list.BackendServer],
         wanted: wanted_turn.WantedTurn,
-        asked: _Asked,
+        replies: _Replies,
     ) -> wanted_turn.Turn | None:
-        """Ask the one again where the request would wait least."""
-        known = [s for s in candidates if asked.waits_s.get(s.name)]
-        if not known or self._left_s(wanted) <= 0.0:
+        """Retry the server that reported the shortest wait."""
+        refusing = [
+            s for s in candidates if replies.refused_waits_s.get(s.name)
+        ]
+        if not refusing or self._remaining_s(wanted) <= 0.0:
             return None
-        soonest = min(known, key=lambda server: asked.waits_s[server.name])
-        return await self._try(soonest, wanted, asked)
+        best = min(
+            refusing, key=lambda server: replies.refused_waits_s[server.name]
+        )
+        return await self._try_server(best, wanted, replies)
 
-    async def _try(
+    async def _try_server(
         self,
         server: backend_list.BackendServer,
         wanted: wanted_turn.WantedTurn,
-        asked: _Asked,
+        replies: _Replies,
         accept_within_s: float = 0.0,
     ) -> wanted_turn.Turn | None:
-        """Ask one sidecar, and note what it says if there is no turn."""
+        """Request a turn of one sidecar, and record why there is none."""
         try:
-            return await self._ask(
-                server, wanted, asked, accept_within_s=accept_within_s
+            return await self._request(
+                server, wanted, replies, accept_within_s=accept_within_s
             )
         except errors.NoReplyError as error:
-            self._note_silent(server, wanted, error)
-            if asked.fallback is None:
-                asked.fallback = turn_candidates.without_sidecar(
+            self._record_silence(server, wanted, error)
+            if replies.fallback is None:
+                replies.fallback = turn_candidates.without_sidecar(
                     server, wanted
                 )
         except errors.RefusalError as error:
             if not error.retry_elsewhere or self._is_suspect(wanted):
                 raise
-            asked.refusals.append(error)
+            replies.refusals.append(error)
             if error.kind is errors.ErrorKind.BACKEND_STARTING:
-                asked.starting.append(server)
+                replies.starting.append(server)
         return None
 
     async def _await_start(
@@ -240,22 +259,22 @@
         server: backend_list.BackendServer,
         wanted: wanted_turn.WantedTurn,
     ) -> wanted_turn.Turn:
-        """Get a turn at an engine that is to serve within seconds."""
+        """Acquire a turn at an engine that will serve within seconds."""
         log.info(
             'waiting for an engine to start',
             request_id=wanted.run_id,
             backend_server=server.name,
-            left_ms=int(self._left_s(wanted) * _MS_PER_S),
+            left_ms=int(self._remaining_s(wanted) * _MS_PER_S),
         )
         try:
-            return await self._ask(
-                server, wanted, _Asked(), waits_for_engine=True
+            return await self._request(
+                server, wanted, _Replies(), waits_for_engine=True
             )
         except errors.NoReplyError as error:
-            self._note_silent(server, wanted, error)
-            raise _soonest([]) from error
+            self._record_silence(server, wanted, error)
+            raise _earliest_retry([]) from error
 
-    def _note_silent(
+    def _record_silence(
         self,
         server: backend_list.BackendServer,
         wanted: wanted_turn.WantedTurn,
@@ -263,17 +282,17 @@
     ) -> None:
         self._ejector.silent(turn_candidates.sidecar_key(server.name))
         log.warning(
-            'sidecar silent',
+            'sidecar not responding',
             request_id=wanted.run_id,
             backend_server=server.name,
             error=str(error),
         )
 
-    async def _ask(
+    async def _request(
         self,
         server: backend_list.BackendServer,
         wanted: wanted_turn.WantedTurn,
-        asked: _Asked,
+        replies: _Replies,
         waits_for_engine: bool = False,
         accept_within_s: float = 0.0,
         is_isolated: bool = False,
@@ -281,10 +300,10 @@
         key = turn_candidates.sidecar_key(server.name)
         self._ejector.begin(key)
         try:
-            return await self._ask_until_settled(
+            return await self._request_until_settled(
                 server,
                 wanted,
-                asked,
+                replies,
                 waits_for_engine,
                 accept_within_s,
                 is_isolated,
@@ -292,19 +311,19 @@
         finally:
             self._ejector.ended(key)
 
-    async def _ask_until_settled(
+    async def _request_until_settled(
         self,
         server: backend_list.BackendServer,
         wanted: wanted_turn.WantedTurn,
-        asked: _Asked,
+        replies: _Replies,
         waits_for_engine: bool,
         accept_within_s: float,
         is_isolated: bool,
     ) -> wanted_turn.Turn:
         while True:
             now_s = self._clock.monotonic_s()
-            left_s = self._left_s(wanted)
-            wait_s = max(0.0, min(_REPLY_WITHIN_S, left_s))
+            remaining_s = self._remaining_s(wanted)
+            wait_s = max(0.0, min(_REPLY_WITHIN_S, remaining_s))
             request = grant.TurnRequest(
                 entry=self._instance,
                 turn_id=wanted.turn_id,
@@ -318,7 +337,7 @@
                 max_tokens=wanted.max_tokens,
                 expected_tokens=wanted.expected_tokens,
                 wait_ms=int(wait_s * _MS_PER_S),
-                start_within_ms=max(0, int(left_s * _MS_PER_S)),
+                start_within_ms=max(0, int(remaining_s * _MS_PER_S)),
                 target_ms=int((wanted.target_at_s - now_s) * _MS_PER_S),
                 deadline_ms=max(0, int((wanted.until_s - now_s) * _MS_PER_S)),
                 waits_for_engine=waits_for_engine,
@@ -331,20 +350,22 @@
             )
             try:
                 reply = await self._link.ask_turn(
-                    server.ip, request, wait_s + _SILENT_AFTER_S
+                    server.ip, request, wait_s + _REPLY_MARGIN_S
                 )
             except BaseException:
-                # The turn may be granted all the same: the caller left,
-                # or the reply was lost.  Its place would stay taken.
+                # The sidecar may have granted the turn although the caller
+                # left or the reply was lost.  The turn would stay occupied.
                 self._ended.note(server.ip, wanted.turn_id)
                 raise
             self._ejector.succeeded(turn_candidates.sidecar_key(server.name))
             self._suspects.exchange.take(
                 server.ip, request.suspects, reply.suspects
             )
-            self._learn(server, reply)
+            self._apply_reply(server, reply)
             if reply.refusal is not None:
-                asked.waits_s[server.name] = reply.wait_ms / _MS_PER_S
+                replies.refused_waits_s[server.name] = (
+                    reply.wait_ms / _MS_PER_S
+                )
                 raise errors.RefusalError(
                     reply.refusal,
                     reply.detail,
@@ -352,39 +373,39 @@
                 )
             if not is_isolated and self._is_suspect(wanted):
                 self._ended.note(server.ip, wanted.turn_id)
-                raise self._suspect_refusal(wanted)
+                raise self._suspect_error(wanted)
             if not reply.is_pending:
                 turn = wanted_turn.Turn(
-                    self._granted_at(server, reply), reply.version
+                    self._granting_server(server, reply), reply.version
                 )
                 self._check_listed(wanted, server, turn)
                 return turn
-            if left_s <= wait_s:
+            if remaining_s <= wait_s:
                 self._ended.note(server.ip, wanted.turn_id)
                 raise errors.RefusalError(
                     errors.ErrorKind.DEADLINE_UNREACHABLE,
-                    'no turn within the time of the request',
+                    'no turn before the deadline of the request',
                 )
 
     def _is_suspect(self, wanted: wanted_turn.WantedTurn) -> bool:
         handling = self._suspects.record.handling(wanted.fingerprint)
         return handling is not crash_record.Handling.FREE
 
-    def _suspect_refusal(
+    def _suspect_error(
         self, wanted: wanted_turn.WantedTurn
     ) -> errors.RefusalError:
-        """Return the answer to what became a suspect while it waited."""
+        """Return the error for a request that became suspect meanwhile."""
         record = self._suspects.record
         handling = record.handling(wanted.fingerprint)
         if handling is crash_record.Handling.REFUSED:
             return isolation.refused(record, wanted.fingerprint)
         return isolation.to_isolate()
 
-    def _granted_at(
+    def _granting_server(
         self, server: backend_list.BackendServer, reply: grant.TurnReply
     ) -> backend_list.BackendServer:
-        # The sidecar sees a restart of its engine before the list tells
-        # of it, and its grant is for the new incarnation.
+        # The sidecar sees a restart of its engine before the backend list
+        # shows it, and grants a turn at the new incarnation.
         name = reply.backend_server or server.name
         started_at_ms = reply.started_at_ms or server.started_at_ms
         if (name, started_at_ms) == (server.name, server.started_at_ms):
@@ -399,36 +420,39 @@
         server: backend_list.BackendServer,
         turn: wanted_turn.Turn,
     ) -> None:
-        # Its engine may have said that it leaves while the turn was waited
-        # for, and the list tells it here before its sidecar knows.
+        # The engine may have announced that it is leaving while the turn
+        # was pending.  The backend list can show this before the sidecar
+        # knows.
         if turn.server.name != server.name:
             return
         if self._servers.find(wanted.service, server.name) is None:
             self._ended.note(server.ip, wanted.turn_id)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING,
-                'the engine left while the turn was waited for',
+                'the engine left while the turn was pending',
             )
 
-    def _learn(
+    def _apply_reply(
         self, server: backend_list.BackendServer, reply: grant.TurnReply
     ) -> None:
         is_current = self._servers.note_start(server.name, reply.started_at_ms)
         if reply.hint is not None and is_current:
             self._placement.learn_hint(server.name, reply.hint)
-        self._note_configuration(server.ip, reply.configuration_version)
-        self._note_entries(reply.entry_count)
+        self._on_configuration_version(server.ip, reply.configuration_version)
+        self._on_entry_count(reply.entry_count)
 
-    def _left_s(self, wanted: wanted_turn.WantedTurn) -> float:
+    def _remaining_s(self, wanted: wanted_turn.WantedTurn) -> float:
         return wanted.start_by_s - self._clock.monotonic_s()
 
 
-def _soonest(refusals: list[errors.RefusalError]) -> errors.RefusalError:
-    """Return the refusal that lets the caller come back first."""
+def _earliest_retry(
+    refusals: list[errors.RefusalError],
+) -> errors.RefusalError:
+    """Return the refusal that allows the earliest retry."""
     if not refusals:
         return errors.RefusalError(
             errors.ErrorKind.NO_BACKEND_SERVER,
             'no engine can be reached',
-            retry_after_s=_NO_ENGINE_RETRY_S,
+            retry_after_s=_NO_ENGINE_RETRY_AFTER_S,
         )
     return min(refusals, key=lambda error: error.retry_after_s or 0.0)
