--- a/lacewingpitch/batch_forecast.py
+++ b/lacewingpitch/batch_forecast.py
@@ -1,4 +1,4 @@
-"""When a request would get a turn in the batch of its engine."""
+"""Simulates when a request would get a turn in its engine's batch."""
 
 import collections
 from collections.abc import Iterator, Mapping
@@ -9,16 +9,16 @@
 
 
 class BatchForecast:
-    """Plays the turns of an engine forward, run by run.
+    """Simulates the turns of an engine, run by run.
 
-    Load it answers: engines that batch a dozen requests, and get more.
-    Those that are let in without knowing when a run ends wait for their
-    turn for as long as a run, and are late.
+    Intended for engines that batch about a dozen requests and get more
+    than that.  A request that is admitted without an estimate of when a
+    run ends can wait for its turn as long as a whole run, and is late.
 
     Parameters
     ----------
     leases
-        Those that have a turn, and those that wait, by their arrival.
+        Granted and pending turns, in order of arrival.
     turn_count
         Requests that the engine batches at once.
     """
@@ -36,55 +36,56 @@
     def wait_s(
         self, prepared_in_s: float, flow: str = '', weight: float = 1.0
     ) -> float:
-        """Return how long a request would wait that came now.
+        """Return the wait of a request that arrives now.
 
         Parameters
         ----------
         prepared_in_s
-            When it has its adapter; the wait counts from then on.
+            Time until it has its adapter; the wait counts from then on.
         flow
-            Those with which it shares its turns.
+            Flow that the request belongs to.
         weight
-            Share of its flow where flows compete.
+            Weight of the flow relative to the others.
         """
         if len(self._leases) < self._turn_count:
             return 0.0
-        forecast = place_forecast.PlaceForecast(self._free_in_s(), 1)
-        for lease in self._ahead(prepared_in_s, flow, weight):
+        forecast = place_forecast.PlaceForecast(self._turns_free_in_s(), 1)
+        for lease in self._leases_ahead(prepared_in_s, flow, weight):
             forecast.take(place_forecast.Occupancy(0.0, lease.run_s))
-        begin_s = forecast.take(place_forecast.Occupancy(0.0)).place_s
-        return max(0.0, begin_s - prepared_in_s)
+        start_in_s = forecast.take(place_forecast.Occupancy(0.0)).place_s
+        return max(0.0, start_in_s - prepared_in_s)
 
-    def _free_in_s(self) -> list[float]:
+    def _turns_free_in_s(self) -> list[float]:
         now_s = self._clock.monotonic_s()
         free_in_s = [
-            lease.left_s(now_s)
+            lease.remaining_s(now_s)
             for lease in self._leases.values()
             if lease.has_turn
         ]
         return free_in_s + [0.0] * (self._turn_count - len(free_in_s))
 
-    def _ahead(
+    def _leases_ahead(
         self, prepared_in_s: float, flow: str, weight: float
     ) -> Iterator[turn_lease.TurnLease]:
-        """Yield the leases that get a turn before a request."""
+        """Yield the leases that get a turn before the request."""
         own_count = 1 + sum(
             lease.request.flow == flow
             for lease in self._leases.values()
-            if not lease.has_place
+            if not lease.has_reservation
         )
         queued_count: collections.Counter[str] = collections.Counter()
         for lease in self._leases.values():
             if lease.has_turn:
                 continue
-            if lease.has_place:
-                # Turns go to whoever is prepared first: a request whose
-                # adapter is held overtakes those that wait for theirs.
+            if lease.has_reservation:
+                # Turns go in the order in which requests finish preparing:
+                # one whose adapter is held overtakes those that wait for
+                # theirs.
                 if lease.is_prepared or prepared_in_s > 0.0:
                     yield lease
                 continue
-            # Flows share the queue for places, so that a long one has no
-            # more than its share ahead of the request.
+            # Flows share the queue by weight, so that a flow with many
+            # requests has no more than its share ahead of this request.
             request = lease.request
             queued_count[request.flow] += 1
             share = own_count * request.weight / weight
--- a/lacewingpitch/engine_keeper.py
+++ b/lacewingpitch/engine_keeper.py
@@ -194,13 +194,13 @@
         self._begin(snapshot)
         self._reconcile(snapshot, asked_at_s)
         if self.desk is not None:
-            await self.desk.reap(
+            await self.desk.end_stale(
                 snapshot.run_ids, asked_at_s, snapshot.queued > 0
             )
 
     async def _refuse_unless_serving(self) -> None:
         if self.desk is not None and not self.view.is_serving:
-            await self.desk.refuse_waiting()
+            await self.desk.refuse_pending()
 
     async def _attach(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
         before = self.view.backend_server
@@ -226,7 +226,7 @@
         self.view.attach(incarnation, snapshot.started_at_ms)
         self._adopted_runs = frozenset()
         if self.desk is not None:
-            await self.desk.forget_all()
+            await self.desk.end_all()
 
     async def _order_model(
         self, snapshot: engine_snapshot.EngineSnapshot
--- a/lacewingpitch/grant_desk.py
+++ b/lacewingpitch/grant_desk.py
@@ -1,4 +1,7 @@
-"""Grants turns at one engine to the requests that entries carry."""
+"""Grants the turns of one engine to requests of entries.
+
+A turn is a lease on one of a backend server's concurrent execution slots.
+"""
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable
@@ -29,27 +32,27 @@
 from lacewingpitch import work
 
 _MS_PER_S = 1000
-# Far above what a healthy engine lets wait: requests that can't be in
-# time are refused by the estimate of their wait, and sooner.
-_MAX_QUEUED_OF_A_ROUTE = 256
+# Far more than a healthy engine has queued: requests that would miss their
+# deadline are refused earlier, by their estimated wait.
+_MAX_QUEUED_PER_FLOW = 256
 log = structlog.get_logger(__name__)
 
 
 class EngineState(admission_module.EngineStage, Protocol):
-    """What the desk needs to know of its engine."""
+    """Engine state that granting turns depends on."""
 
     @property
     def backend_server(self) -> str:
-        """Return the engine's incarnation; empty if not known."""
+        """Return the engine's incarnation; empty if unknown."""
         ...
 
     @property
     def started_at_ms(self) -> int:
-        """Return the Unix time of its start; 0 if it does not say."""
+        """Return the Unix time of the engine's start; 0 if unknown."""
         ...
 
     async def next_report(self) -> None:
-        """Wait until the engine has reported again."""
+        """Wait for the next report of the engine."""
         ...
 
     def slot_name(self, model: str, adapter: str, version: int) -> str:
@@ -57,23 +60,22 @@
         ...
 
     def held_version(self, slot_name: str) -> int:
-        """Return the version held under that name; 0 if not known."""
+        """Return the version held under a slot name; 0 if unknown."""
         ...
 
 
 class GrantDesk:
-    """Keeps the turns of one engine.
+    """Grants and ends the turns of one engine.
 
-    A turn is a lease.  It ends when its entry says so, when its engine
-    works on its run no more, or at the request's deadline, whichever is
-    first.
+    A turn ends when its entry ends it, when the engine no longer runs its
+    request, or at the request's deadline, whichever comes first.
 
     Parameters
     ----------
     configuration_version
-        Returns the version that this process has in force.
+        Returns the configuration version in force in this process.
     record
-        Takes note of what becomes of turns.
+        Logs and counts the outcomes of turns.
     """
 
     def __init__(
@@ -109,15 +111,15 @@
         self._awaiting_start_count = 0
 
     def __len__(self) -> int:
-        """Return how many turns are granted or waited for."""
+        """Return the number of granted and pending turns."""
         return len(self._turns)
 
     async def ask(self, request: grant.TurnRequest) -> grant.TurnReply:
-        """Return a turn, a refusal, or that it is still waited for."""
+        """Grant or refuse a turn, or reply that it is still pending."""
         self._entries.note(request.entry)
-        if self._awaits_start(request):
-            await self._until_started(request.wait_ms / _MS_PER_S)
-            if self._awaits_start(request):
+        if self._must_await_start(request):
+            await self._await_start(request.wait_ms / _MS_PER_S)
+            if self._must_await_start(request):
                 return self._reply(is_pending=True)
         turn = self._turns.get(request.turn_id)
         if turn is None:
@@ -128,7 +130,7 @@
                 return self._refused(request, refusal)
             name = self._slot_name(request)
             wait = self._expected_wait.of(request, name)
-            is_above_share = self._is_above_share(request, wait)
+            is_above_share = self._exceeds_fair_share(request, wait)
             refusal = self._admission.refusal(
                 request, wait.total_s, is_above_share
             )
@@ -136,7 +138,7 @@
                 return self._refused(
                     request, refusal, wait.total_s, is_above_share
                 )
-            turn = self._enter(request, wait)
+            turn = self._add_turn(request, wait)
         assert turn.task is not None
         done, _ = await asyncio.wait(
             [turn.task], timeout=request.wait_ms / _MS_PER_S
@@ -145,76 +147,77 @@
             return self._reply(is_pending=True)
         if turn.task.cancelled():
             refusal = turn.refusal or errors.RefusalError(
-                errors.ErrorKind.CALLER_GONE, 'the turn was given up'
+                errors.ErrorKind.CALLER_GONE,
+                'the turn ended before it was granted',
             )
             return self._refused(request, refusal)
         return turn.task.result()
 
     async def end(self, turn_ids: Iterable[str]) -> None:
-        """Take back turns."""
+        """End turns."""
         for turn_id in turn_ids:
             turn = self._turns.get(turn_id)
             if turn is not None:
-                self._learn_run(turn)
+                self._record_run_time(turn)
             await self._end(turn_id)
 
-    async def reap(
-        self, run_ids: Collection[str], asked_at_s: float, is_queueing: bool
+    async def end_stale(
+        self, run_ids: Collection[str], reported_at_s: float, is_queueing: bool
     ) -> None:
-        """Take back the turns of runs that the engine does not know.
+        """End expired turns and those whose runs the engine doesn't report.
 
         Parameters
         ----------
         run_ids
-            Runs that the engine works on, as of `asked_at_s`.
+            Runs in progress at the engine, as of `reported_at_s`.
         is_queueing
-            Whether the engine has accepted requests that it does not
-            work on yet, and does not name.
+            Whether the engine has accepted requests that it has not
+            started, and whose runs it does not report.
         """
         now_s = self._clock.monotonic_s()
         for turn_id, turn in list(self._turns.items()):
             if turn.request.run_id in run_ids:
-                turn.seen_at_s = asked_at_s
+                turn.last_reported_s = reported_at_s
             if now_s >= turn.until_s or (
-                not is_queueing and turn.is_unseen(asked_at_s)
+                not is_queueing and turn.is_missing(reported_at_s)
             ):
                 self._record.lapsed(turn, now_s)
                 await self._end(turn_id)
 
-    async def forget_all(self) -> None:
-        """Take back every turn: the engine has restarted."""
-        await self.refuse_waiting()
+    async def end_all(self) -> None:
+        """End every turn, after the engine has restarted."""
+        await self.refuse_pending()
         for turn_id in list(self._turns):
             await self._end(turn_id)
 
-    async def refuse_waiting(self) -> None:
-        """Refuse the turns that are waited for; those granted go on.
+    async def refuse_pending(self) -> None:
+        """Refuse the pending turns and keep the granted ones.
 
-        An engine that leaves must get no new work, and one that is down
-        gives none.  A request that waits there for its adapter would be
-        sent long after its engine has said that it leaves.
+        A leaving engine must get no new work, and one that is down can't
+        run any.  Otherwise a request that waits for its adapter would be
+        sent long after the engine has announced that it is leaving.
         """
         for turn_id, turn in list(self._turns.items()):
             if turn.granted_at_s is None:
                 turn.refusal = self._admission.not_serving()
                 await self._end(turn_id)
 
-    def _is_above_share(
+    def _exceeds_fair_share(
         self, request: grant.TurnRequest, wait: expected_wait.Wait
     ) -> bool:
-        # While turns are free, nobody is kept waiting by whoever takes one.
+        # While turns are free, a further one delays no other organisation.
         if not wait.turn_s:
             return False
         return fair_share.is_above(
             request, (turn.request for turn in self._turns.values())
         )
 
-    def _awaits_start(self, request: grant.TurnRequest) -> bool:
+    def _must_await_start(self, request: grant.TurnRequest) -> bool:
         return self._admission.awaits_start(
             request, self._awaiting_start_count
         )
 
-    async def _until_started(self, limit_s: float) -> None:
+    async def _await_start(self, limit_s: float) -> None:
         self._awaiting_start_count += 1
         try:
             with contextlib.suppress(TimeoutError):
@@ -224,30 +227,30 @@
         finally:
             self._awaiting_start_count -= 1
 
-    def _enter(
+    def _add_turn(
         self, request: grant.TurnRequest, wait: expected_wait.Wait
     ) -> turn_lease.TurnLease:
         now_s = self._clock.monotonic_s()
         until_s = now_s + request.deadline_ms / _MS_PER_S
         turn = turn_lease.TurnLease(
-            request, now_s, until_s, wait, self._run_s(request)
+            request, now_s, until_s, wait, self._expected_run_s(request)
         )
         self._turns[request.turn_id] = turn
         turn.expected.enter_context(
             self._pacer.expecting(request.prompt_tokens)
         )
-        turn.task = asyncio.create_task(self._settle(turn))
+        turn.task = asyncio.create_task(self._acquire(turn))
         return turn
 
-    async def _settle(self, turn: turn_lease.TurnLease) -> grant.TurnReply:
+    async def _acquire(self, turn: turn_lease.TurnLease) -> grant.TurnReply:
         request = turn.request
         try:
-            await self._take(turn)
+            await self._acquire_resources(turn)
         except errors.RefusalError as error:
-            await self._end(request.turn_id, is_settling=True)
+            await self._end(request.turn_id, from_task=True)
             return self._refused(request, error)
         except BaseException:
-            await self._end(request.turn_id, is_settling=True)
+            await self._end(request.turn_id, from_task=True)
             raise
         turn.granted_at_s = self._clock.monotonic_s()
         name = self._slot_name(request)
@@ -255,44 +258,46 @@
         self._record.granted(turn, name, version)
         return self._reply(version=version)
 
-    async def _take(self, turn: turn_lease.TurnLease) -> None:
+    async def _acquire_resources(self, turn: turn_lease.TurnLease) -> None:
         request = turn.request
         name = self._slot_name(request)
         order = self._order(request, name)
-        place = await turn.held.enter_async_context(self._queue.place(order))
-        turn.note_step(self._clock.monotonic_s())
+        reservation = await turn.resources.enter_async_context(
+            self._queue.place(order)
+        )
+        turn.record_step(self._clock.monotonic_s())
         if name:
             waited_s = self._clock.monotonic_s() - turn.asked_at_s
             left_s = request.start_within_ms / _MS_PER_S - waited_s
-            await turn.held.enter_async_context(
+            await turn.resources.enter_async_context(
                 self._adapters.hold(
-                    name, left_s, use_s=self._expected_use_s(request)
+                    name, left_s, use_s=self._expected_slot_use_s(request)
                 )
             )
-        turn.note_step(self._clock.monotonic_s())
-        await turn.held.enter_async_context(place.turn())
-        turn.note_step(self._clock.monotonic_s())
+        turn.record_step(self._clock.monotonic_s())
+        await turn.resources.enter_async_context(reservation.turn())
+        turn.record_step(self._clock.monotonic_s())
         turn.expected.close()
         await self._pacer.admit(
             request.prompt_tokens, request.flow, request.rank, request.weight
         )
 
-    def _expected_use_s(self, request: grant.TurnRequest) -> float:
-        """Return for how long a request keeps its adapter's place."""
+    def _expected_slot_use_s(self, request: grant.TurnRequest) -> float:
+        """Return how long a request is expected to use its adapter slot."""
         prompt_s = self._pacer.wait_s(
             request.prompt_tokens,
             request.flow,
             request.rank,
             weight=request.weight,
         )
-        return prompt_s + self._run_s(request)
+        return prompt_s + self._expected_run_s(request)
 
-    def _run_s(self, request: grant.TurnRequest) -> float:
+    def _expected_run_s(self, request: grant.TurnRequest) -> float:
         return self._run_times.expected_s(
             request.expected_tokens or request.max_tokens
         )
 
-    def _learn_run(self, turn: turn_lease.TurnLease) -> None:
+    def _record_run_time(self, turn: turn_lease.TurnLease) -> None:
         if turn.granted_at_s is None:
             return
         request = turn.request
@@ -301,16 +306,16 @@
             self._clock.monotonic_s() - turn.granted_at_s,
         )
 
-    async def _end(self, turn_id: str, is_settling: bool = False) -> None:
+    async def _end(self, turn_id: str, from_task: bool = False) -> None:
         turn = self._turns.pop(turn_id, None)
         if turn is None:
             return
-        if not is_settling and turn.task is not None:
+        if not from_task and turn.task is not None:
             if not turn.task.done():
                 turn.task.cancel()
                 await asyncio.wait([turn.task])
         turn.expected.close()
-        await turn.held.aclose()
+        await turn.resources.aclose()
 
     def _slot_name(self, request: grant.TurnRequest) -> str:
         if not request.adapter:
@@ -320,9 +325,9 @@
         )
 
     def _order(self, request: grant.TurnRequest, name: str) -> work.WorkOrder:
-        # Routes, and the organisations that call them, share an engine as
-        # customers do where there are contracts: each gets its turns, and
-        # an urgent one goes ahead.
+        # The queue schedules flows, that is the routes of organisations, as
+        # it schedules customers with contracts: each flow gets its share of
+        # the turns, and urgent routes go ahead.
         urgency = contract.Urgency.STANDARD
         if not request.rank:
             urgency = contract.Urgency.INTERACTIVE
@@ -338,7 +343,7 @@
             path=name,
             repeatable=False,
             max_tokens=request.max_tokens,
-            queued_requests=_MAX_QUEUED_OF_A_ROUTE,
+            queued_requests=_MAX_QUEUED_PER_FLOW,
         )
 
     def _refused(
--- a/lacewingpitch/turn_lease.py
+++ b/lacewingpitch/turn_lease.py
@@ -1,4 +1,4 @@
-"""The lease of one turn at a model engine, from asking to its end."""
+"""Lease of one turn at a model engine, from its request to its end."""
 
 import asyncio
 import contextlib
@@ -10,30 +10,37 @@
 from lacewingpitch import grant
 
 _MS_PER_S = 1000
-# Its steps: a place in the queue, its adapter, a turn in the batch.
-_PLACED_STEPS = 1
+# Number of completed steps: a queue reservation, the adapter, a turn in the
+# batch.
+_RESERVED_STEPS = 1
 _PREPARED_STEPS = 2
 _TURN_STEPS = 3
 _STEP_NAMES = ('place_ms', 'adapter_ms', 'turn_ms', 'prompt_ms')
-# A granted run shows in the engine's report once the entry has sent the
-# request: the way there, the body, and the engine's own queue.  A turn
-# whose run is missing for so long belongs to an entry that died or was
-# cut off, and its place is free.
-_UNSEEN_AFTER_S = 1.5
+# A granted run shows in the engine's report only after the entry has sent
+# the request: the transfer, the body, and the engine's own queue take time.
+# A turn whose run is missing for longer belongs to an entry that has died or
+# is partitioned, and its capacity is free.
+_MISSING_AFTER_S = 1.5
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TurnLease:
-    """One turn, from the time it is asked for.
+    """A turn, from the time it is requested.
 
     Parameters
     ----------
     until_s
-        The request's deadline.
+        Deadline of the request.
     expected_wait
-        What it was expected to wait when it was let in.
+        Estimated wait when the request was admitted.
     run_s
-        How long its run is expected to take.
+        Expected duration of the run.
+    last_reported_s
+        When a report that showed the run was requested; None before.
+    expected
+        Closed once the prompt no longer counts as expected by the pacer.
+    resources
+        Queue reservation, adapter and turn, released together.
     """
 
     request: grant.TurnRequest
@@ -44,53 +51,56 @@
     task: asyncio.Task[grant.TurnReply] | None = None
     refusal: errors.RefusalError | None = None
     granted_at_s: float | None = None
-    seen_at_s: float | None = None
+    last_reported_s: float | None = None
     expected: contextlib.ExitStack = dataclasses.field(
         default_factory=contextlib.ExitStack
     )
-    held: contextlib.AsyncExitStack = dataclasses.field(
+    resources: contextlib.AsyncExitStack = dataclasses.field(
         default_factory=contextlib.AsyncExitStack
     )
     _steps_at_s: list[float] = dataclasses.field(default_factory=list)
 
     @property
-    def has_place(self) -> bool:
-        """Whether it is out of the queue, and prepares."""
-        return len(self._steps_at_s) >= _PLACED_STEPS
+    def has_reservation(self) -> bool:
+        """Whether it has left the queue, and prepares or runs."""
+        return len(self._steps_at_s) >= _RESERVED_STEPS
 
     @property
     def is_prepared(self) -> bool:
-        """Whether it has its adapter, and waits for nothing but a turn."""
+        """Whether it has its adapter and waits only for a turn."""
         return len(self._steps_at_s) == _PREPARED_STEPS
 
     @property
     def has_turn(self) -> bool:
-        """Whether it takes a place in the engine's batch."""
+        """Whether it occupies a slot of the engine's batch."""
         return len(self._steps_at_s) >= _TURN_STEPS
 
-    def note_step(self, now_s: float) -> None:
-        """Take note that it has waited for its next step."""
+    def record_step(self, now_s: float) -> None:
+        """Record that the next step is completed."""
         self._steps_at_s.append(now_s)
 
-    def left_s(self, now_s: float) -> float:
-        """Return how much longer it is expected to keep its turn."""
+    def remaining_s(self, now_s: float) -> float:
+        """Return how much longer the turn is expected to last."""
         if self.granted_at_s is None:
             return self.run_s
-        # What is overdue by some time is expected to last as long again,
+        # An overdue run is expected to last as long again as it is overdue,
         # so that a stalled engine worsens every estimate.
         return abs(self.granted_at_s + self.run_s - now_s)
 
-    def is_unseen(self, asked_at_s: float) -> bool:
-        """Whether its run should show in a report, and does not."""
+    def is_missing(self, reported_at_s: float) -> bool:
+        """Whether a report as of `reported_at_s` should show the run.
+
+        To be called for a report that doesn't show it.
+        """
         if self.granted_at_s is None:
             return False
         since_s = self.granted_at_s
-        if self.seen_at_s is not None:
-            since_s = max(since_s, self.seen_at_s)
-        return asked_at_s - since_s >= _UNSEEN_AFTER_S
+        if self.last_reported_s is not None:
+            since_s = max(since_s, self.last_reported_s)
+        return reported_at_s - since_s >= _MISSING_AFTER_S
 
     def waits_ms(self, granted_at_s: float) -> dict[str, int]:
-        """Return what a granted turn waited for, by its steps."""
+        """Return the wait of a granted turn for each of its steps."""
         times_s = [self.asked_at_s, *self._steps_at_s, granted_at_s]
         return {
             name: round((after_s - before_s) * _MS_PER_S)
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -22,7 +22,7 @@
         test_admission.REQUEST, 0.0, 12.0, expected_wait.Wait(), run_s
     )
     for _ in range(steps):
-        found.note_step(0.0)
+        found.record_step(0.0)
     found.granted_at_s = granted_at_s
     return found
 
