--- a/benchmarks/capacity_platform.py
+++ b/benchmarks/capacity_platform.py
@@ -15,13 +15,13 @@
 from benchmarks import slopes
 from lacewingpitch import backend_list
 from lacewingpitch import clock as clock_module
-from lacewingpitch import grant
 from lacewingpitch import hint as hint_module
 from lacewingpitch import live_list
 from lacewingpitch import peer_state
 from lacewingpitch import placement
 from lacewingpitch.platform import wire
 from lacewingpitch import settings
+from lacewingpitch import turn_messages
 
 ENGINES = (100, 250, 500, 1_000)
 SLOTS = 30
@@ -174,7 +174,7 @@
 def measure_messages() -> None:
     """Print the size of what goes between an entry and a sidecar."""
     server = make_servers(1)[0]
-    request = grant.TurnRequest(
+    request = turn_messages.TurnRequest(
         entry='edge-zone-a-1',
         turn_id='9c41d07be2a35f68.1',
         run_id='9c41d07be2a35f68',
@@ -190,7 +190,7 @@
         target_ms=800,
         deadline_ms=12_000,
     )
-    reply = grant.TurnReply(
+    reply = turn_messages.TurnReply(
         backend_server=server.name,
         version=1,
         configuration_version=7,
--- a/benchmarks/order.py
+++ b/benchmarks/order.py
@@ -19,7 +19,7 @@
 from benchmarks import virtual_time
 from lacewingpitch import contract
 from lacewingpitch import errors
-from lacewingpitch import fair_order
+from lacewingpitch import fair_queue
 from lacewingpitch import fence
 from lacewingpitch import slots
 from lacewingpitch import turn_queue
@@ -186,7 +186,7 @@
         self._semaphore = asyncio.Semaphore(TURN_COUNT)
 
     @contextlib.asynccontextmanager
-    async def place(self, _order):
+    async def reserve(self, _order):
         yield self
 
     @contextlib.asynccontextmanager
@@ -210,12 +210,12 @@
 
 
 def leads(scale):
-    return {u: s * scale for u, s in fair_order.LEADS_S.items()}
+    return {u: s * scale for u, s in fair_queue.URGENCY_LEADS_S.items()}
 
 
 def fair(leads_s, **fields):
     return queue_of(
-        lambda clock: fair_order.FairOrder(
+        lambda clock: fair_queue.FairQueue(
             TURN_COUNT, lambda order: True, clock, leads_s, **fields
         )
     )
@@ -229,8 +229,8 @@
     'fair': fair(no_leads()),
     'fair+lead/4': fair(leads(0.25)),
     'fair+lead': fair(leads(1.0)),
-    'fair+lead, aging 0.5': fair(leads(1.0), patience_ratio=0.5),
-    'fair+lead, no aging': fair(leads(1.0), patience_ratio=2.0),
+    'fair+lead, aging 0.5': fair(leads(1.0), aging_ratio=0.5),
+    'fair+lead, no aging': fair(leads(1.0), aging_ratio=2.0),
     'deficit': queue_of(
         lambda clock: order_rivals.DeficitOrder(clock, TURN_COUNT)
     ),
@@ -273,7 +273,7 @@
     """Requests that need a turn and nothing else."""
 
     async def prepare(self, held, gate, request):
-        place = await held.enter_async_context(gate.place(request.order))
+        place = await held.enter_async_context(gate.reserve(request.order))
         await held.enter_async_context(place.turn())
 
     async def work(self, request):
@@ -403,7 +403,7 @@
     async def prepare(self, held, gate, request):
         if self._adapter_first:
             await self._hold(held, request)
-        place = await held.enter_async_context(gate.place(request.order))
+        place = await held.enter_async_context(gate.reserve(request.order))
         if not self._adapter_first:
             await self._hold(held, request)
         await held.enter_async_context(place.turn())
@@ -461,7 +461,7 @@
     run = WithSlots(adapter_first=way.adapter_first)
 
     def make_order(clock):
-        return fair_order.FairOrder(
+        return fair_queue.FairQueue(
             TURN_COUNT, run.holds, clock, held_lead_s=way.held_lead_s
         )
 
@@ -493,7 +493,7 @@
     @staticmethod
     async def arrivals(waiting):
         clock = virtual_time.LoopClock()
-        order = fair_order.FairOrder(TURN_COUNT, lambda order: True, clock)
+        order = fair_queue.FairQueue(TURN_COUNT, lambda order: True, clock)
         queue = turn_queue.TurnQueue(TURN_COUNT, 0, 4096, order, clock)
         customer = Customer('c', 1.0, deadline_s=1e9)
         rng = random.Random(1)
@@ -502,7 +502,7 @@
             order = _request(
                 dataclasses.replace(customer, name=f'c{number % 64}'), 0, rng
             ).order
-            async with queue.place(order) as place, place.turn():
+            async with queue.reserve(order) as place, place.turn():
                 await asyncio.Event().wait()
 
         tasks = [
--- a/benchmarks/order_rivals.py
+++ b/benchmarks/order_rivals.py
@@ -1,4 +1,4 @@
-"""Orders that `FairOrder` is measured against."""
+"""Orders that `FairQueue` is measured against."""
 
 import collections
 
@@ -23,7 +23,7 @@
     def remove(self, waiter):
         del self._waiting[waiter]
 
-    def take(self):
+    def pop(self):
         waiter = next(iter(self._waiting))
         del self._waiting[waiter]
         return waiter
@@ -45,7 +45,7 @@
         super().__init__()
         self._aging_s = aging_s
 
-    def take(self):
+    def pop(self):
         waiter = min(self._waiting, key=self._key)
         del self._waiting[waiter]
         return waiter
@@ -91,7 +91,7 @@
         self._update()
         self._drop(waiter)
 
-    def take(self):
+    def pop(self):
         self._update()
         customer = max(self._waiting, key=lambda c: self._deficits_s[c])
         waiter = next(iter(self._waiting[customer]))
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -26,7 +26,7 @@
 from lacewingpitch import attempts
 from lacewingpitch import directory
 from lacewingpitch import errors
-from lacewingpitch import fair_order
+from lacewingpitch import fair_queue
 from lacewingpitch import fence as fence_module
 from lacewingpitch import hint as hint_module
 from lacewingpitch import live_list
@@ -155,7 +155,7 @@
             engine.max_running,
             round(engine.max_running * attempts.LOOKAHEAD_RATIO),
             MAX_QUEUED,
-            fair_order.FairOrder(
+            fair_queue.FairQueue(
                 engine.max_running,
                 lambda order: slots.holds(order.adapter.engine_name),
                 clock,
@@ -182,7 +182,7 @@
         try:
             async with asyncio.timeout(order.deadline_s):
                 place = await held.enter_async_context(
-                    self._queue.place(order)
+                    self._queue.reserve(order)
                 )
                 left_s = start_by_s - self._clock.monotonic_s()
                 stall_s = await held.enter_async_context(
--- a/lacewingpitch/asking_entries.py
+++ b/lacewingpitch/active_entries.py
@@ -7,7 +7,7 @@
 _KEPT_S = 10.0
 
 
-class AskingEntries:
+class ActiveEntries:
     """Counts the entries that asked of late.
 
     Entries share the retry budget of a service, and learn from sidecars
--- a/lacewingpitch/admission.py
+++ b/lacewingpitch/admission.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from lacewingpitch import errors
-from lacewingpitch import grant
+from lacewingpitch import turn_messages
 
 _MS_PER_S = 1000
 # Other engines take what one that leaves refuses.
@@ -77,7 +77,7 @@
         self._random = source
 
     def awaits_start(
-        self, request: grant.TurnRequest, awaiting_count: int
+        self, request: turn_messages.TurnRequest, awaiting_count: int
     ) -> bool:
         """Whether a request waits until the engine has its model.
 
@@ -99,7 +99,7 @@
 
     def refusal(
         self,
-        request: grant.TurnRequest,
+        request: turn_messages.TurnRequest,
         wait_s: float,
         is_above_share: bool = False,
     ) -> errors.RefusalError | None:
--- a/lacewingpitch/attempts.py
+++ b/lacewingpitch/attempts.py
@@ -8,7 +8,7 @@
 
 from lacewingpitch import claim as claim_module
 from lacewingpitch import errors
-from lacewingpitch import fair_order
+from lacewingpitch import fair_queue
 from lacewingpitch import ledger
 from lacewingpitch import node as node_module
 from lacewingpitch import runner as runner_module
@@ -224,7 +224,9 @@
         start_by_s = self._node.clock.monotonic_s() + order.deadline_s
         try:
             async with asyncio.timeout(order.deadline_s):
-                place = await held.enter_async_context(self.queue.place(order))
+                place = await held.enter_async_context(
+                    self.queue.reserve(order)
+                )
                 left_s = start_by_s - self._node.clock.monotonic_s()
                 order = msgspec.structs.replace(order, deadline_s=left_s)
                 await held.enter_async_context(self._runner.ready(order))
@@ -244,7 +246,7 @@
             backend.max_running,
             lookahead_count,
             self._settings.max_queued,
-            fair_order.FairOrder(
+            fair_queue.FairQueue(
                 backend.max_running,
                 lambda order: self._runner.holds(order),
                 self._node.clock,
--- a/lacewingpitch/carrier.py
+++ b/lacewingpitch/carrier.py
@@ -17,13 +17,13 @@
 from lacewingpitch import errors
 from lacewingpitch import event_splitter
 from lacewingpitch import idle_timeout
-from lacewingpitch import plain_turns
+from lacewingpitch import plain_server_selector
 from lacewingpitch import request_trail
 from lacewingpitch import retry_budget
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from lacewingpitch import suspects as suspects_module
-from lacewingpitch import turn_source
-from lacewingpitch import wanted_turn
+from lacewingpitch import turn_client
+from lacewingpitch import turn_spec
 
 # Servers to which no connection could be made are passed over without
 # counting as attempts; so many more would only use up the caller's time.
@@ -55,8 +55,8 @@
     def __init__(
         self,
         client: backend_call.BackendClient,
-        turns: turn_source.TurnSource,
-        services: service_choice.ServiceChoice,
+        turns: turn_client.TurnClient,
+        services: service_balancer.ServiceBalancer,
         ejector: ejection.Ejector,
         budgets: retry_budget.ServiceBudgets,
         versions: adapter_versions.AdapterVersions,
@@ -65,7 +65,9 @@
         suspects: suspects_module.Suspects,
     ) -> None:
         self._suspects = suspects
-        self._plain_turns = plain_turns.PlainTurns(services, suspects.record)
+        self._plain_turns = plain_server_selector.PlainServerSelector(
+            services, suspects.record
+        )
         self._clock = clock
         self._client = client
         self._turns = turns
@@ -161,17 +163,17 @@
         request: backend_call.CallerRequest,
         services: tuple[str, ...],
         trail: request_trail.Trail,
-    ) -> AsyncIterator[wanted_turn.Turn]:
+    ) -> AsyncIterator[turn_spec.Turn]:
         """Choose where the request goes next, and keep the place there."""
         if not request.model:
-            with self._plain_turns.turn(
+            with self._plain_turns.select(
                 request.fingerprint, services, trail.servers
             ) as server:
-                yield wanted_turn.Turn(server, 0)
+                yield turn_spec.Turn(server, 0)
             return
         started_s = self._clock.monotonic_s()
         caller = request.organisation
-        wanted = wanted_turn.WantedTurn(
+        wanted = turn_spec.TurnSpec(
             run_id=request.request_id,
             attempt=trail.sent_count + trail.unreached_count + 1,
             service=services[0],
@@ -190,14 +192,14 @@
             weight=caller.weight if caller else 1.0,
             fingerprint=request.fingerprint,
         )
-        async with self._turns.turn(wanted, trail.servers) as turn:
+        async with self._turns.acquire(wanted, trail.servers) as turn:
             trail.turn_wait_s += self._clock.monotonic_s() - started_s
             yield turn
 
     async def _try(
         self,
         request: backend_call.CallerRequest,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
         trail: request_trail.Trail,
         delivery: backend_call.Delivery,
     ) -> '_Failure | None':
@@ -230,7 +232,9 @@
             self._ejector.ended(name)
         self._ejector.succeeded(name)
         self._suspects.record.note_answered(request.fingerprint)
-        self._services.answered(name, self._clock.monotonic_s() - started_s)
+        self._services.record_latency(
+            name, self._clock.monotonic_s() - started_s
+        )
         return None
 
     async def _exchange(
@@ -284,7 +288,7 @@
     def _failure(
         self,
         request: backend_call.CallerRequest,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
         trail: request_trail.Trail,
         error: errors.PlatformError,
     ) -> '_Failure':
@@ -338,7 +342,7 @@
     def _note_crash(
         self,
         request: backend_call.CallerRequest,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
         trail: request_trail.Trail,
         error: errors.PlatformError,
     ) -> None:
--- a/lacewingpitch/configuration_exchange.py
+++ b/lacewingpitch/configuration_exchange.py
@@ -8,8 +8,8 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import routing
+from lacewingpitch import turn_messages
 
 _TIMEOUT_S = 1.0
 # A peer reads the store itself within a second where it can.
@@ -22,13 +22,19 @@
     """Messages about the configuration to one other process."""
 
     async def ask_configuration(
-        self, ip: str, message: grant.ConfigurationRequest, timeout_s: float
-    ) -> grant.ConfigurationReply:
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationRequest,
+        timeout_s: float,
+    ) -> turn_messages.ConfigurationReply:
         """Ask for a newer configuration."""
         ...
 
     async def offer_configuration(
-        self, ip: str, message: grant.ConfigurationOffer, timeout_s: float
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationOffer,
+        timeout_s: float,
     ) -> None:
         """Bring a newer configuration."""
         ...
@@ -106,22 +112,22 @@
         return configuration.version
 
     async def answer(
-        self, message: grant.ConfigurationRequest
-    ) -> grant.ConfigurationReply:
+        self, message: turn_messages.ConfigurationRequest
+    ) -> turn_messages.ConfigurationReply:
         """Answer what an entry asks."""
         configuration = self._table.configuration
         if configuration is None:
-            return grant.ConfigurationReply()
+            return turn_messages.ConfigurationReply()
         if configuration.version <= message.above_version:
-            return grant.ConfigurationReply()
-        return grant.ConfigurationReply(content=configuration.content)
+            return turn_messages.ConfigurationReply()
+        return turn_messages.ConfigurationReply(content=configuration.content)
 
     async def accept(
-        self, message: grant.ConfigurationOffer
-    ) -> grant.ConfigurationTaken:
+        self, message: turn_messages.ConfigurationOffer
+    ) -> turn_messages.ConfigurationTaken:
         """Take what an entry brings."""
         self.take(message.content, source='entry')
-        return grant.ConfigurationTaken()
+        return turn_messages.ConfigurationTaken()
 
     def close(self) -> None:
         """End what is under way."""
@@ -141,7 +147,9 @@
 
     async def _fetch(self, ip: str) -> None:
         assert self._link is not None
-        message = grant.ConfigurationRequest(above_version=self._table.version)
+        message = turn_messages.ConfigurationRequest(
+            above_version=self._table.version
+        )
         try:
             reply = await self._link.ask_configuration(ip, message, _TIMEOUT_S)
             if reply.content:
@@ -155,7 +163,9 @@
         if configuration is None:
             return
         assert self._link is not None
-        message = grant.ConfigurationOffer(content=configuration.content)
+        message = turn_messages.ConfigurationOffer(
+            content=configuration.content
+        )
         try:
             await self._link.offer_configuration(ip, message, _TIMEOUT_S)
         except errors.LinkError as error:
--- a/lacewingpitch/control_peers.py
+++ b/lacewingpitch/control_peers.py
@@ -1,10 +1,10 @@
 """Control messages of an entry to sidecars and to other entries."""
 
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import link
 from lacewingpitch import peer_state
 from lacewingpitch import settings
+from lacewingpitch import turn_messages
 from lacewingpitch import usage_lease
 
 
@@ -21,34 +21,42 @@
         self._pool = pool
         self._sidecar_port = sidecar_port
 
-    async def ask_turn(
-        self, ip: str, request: grant.TurnRequest, timeout_s: float
-    ) -> grant.TurnReply:
+    async def request_turn(
+        self, ip: str, request: turn_messages.TurnRequest, timeout_s: float
+    ) -> turn_messages.TurnReply:
         """Ask for a turn."""
-        return await self._sidecar(ip).ask(request, grant.TurnReply, timeout_s)
+        return await self._sidecar(ip).ask(
+            request, turn_messages.TurnReply, timeout_s
+        )
 
     async def end_turns(
-        self, ip: str, message: grant.TurnEnds, timeout_s: float
-    ) -> grant.TurnEndsReply:
+        self, ip: str, message: turn_messages.TurnEnds, timeout_s: float
+    ) -> turn_messages.TurnEndsReply:
         """Say that turns have ended."""
         return await self._sidecar(ip).ask(
-            message, grant.TurnEndsReply, timeout_s
+            message, turn_messages.TurnEndsReply, timeout_s
         )
 
     async def ask_configuration(
-        self, ip: str, message: grant.ConfigurationRequest, timeout_s: float
-    ) -> grant.ConfigurationReply:
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationRequest,
+        timeout_s: float,
+    ) -> turn_messages.ConfigurationReply:
         """Ask for a newer configuration."""
         return await self._sidecar(ip).ask(
-            message, grant.ConfigurationReply, timeout_s
+            message, turn_messages.ConfigurationReply, timeout_s
         )
 
     async def offer_configuration(
-        self, ip: str, message: grant.ConfigurationOffer, timeout_s: float
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationOffer,
+        timeout_s: float,
     ) -> None:
         """Bring a newer configuration."""
         await self._sidecar(ip).ask(
-            message, grant.ConfigurationTaken, timeout_s
+            message, turn_messages.ConfigurationTaken, timeout_s
         )
 
     async def ask_usage(
--- a/lacewingpitch/engine_keeper.py
+++ b/lacewingpitch/engine_controller.py
@@ -15,16 +15,16 @@
 from lacewingpitch import engine_snapshot
 from lacewingpitch import engine_view
 from lacewingpitch import errors
-from lacewingpitch import fair_order
+from lacewingpitch import fair_queue
 from lacewingpitch import fence as fence_module
-from lacewingpitch import grant
-from lacewingpitch import grant_desk
-from lacewingpitch import grant_record
 from lacewingpitch import metrics as metrics_module
 from lacewingpitch import prefill_pacer
 from lacewingpitch import routing
 from lacewingpitch import slots as slots_module
 from lacewingpitch import suspect_exchange
+from lacewingpitch import turn_granter
+from lacewingpitch import turn_messages
+from lacewingpitch import turn_metrics
 from lacewingpitch import turn_queue
 from lacewingpitch import work
 
@@ -64,7 +64,7 @@
         ...
 
 
-class EngineKeeper:
+class EngineController:
     """The one process that orders an engine, and grants turns at it.
 
     Parameters
@@ -98,45 +98,51 @@
             engine, self._fence, versions, clock
         )
         self._adapters: slots_module.AdapterSlots | None = None
-        self.desk: grant_desk.GrantDesk | None = None
+        self.granter: turn_granter.TurnGranter | None = None
         self._adopted_runs: frozenset[str] = frozenset()
         self._is_down = True
         self._model_order_at_s = 0.0
         self._is_ready = asyncio.Event()
 
-    async def ask(self, request: grant.TurnRequest) -> grant.TurnReply:
+    async def request_turn(
+        self, request: turn_messages.TurnRequest
+    ) -> turn_messages.TurnReply:
         """Return a turn, a refusal, or that it is still waited for."""
         self._crashes.merge(
             request.suspects.states if request.suspects else ()
         )
-        reply = await self._ask(request)
+        reply = await self._request_turn(request)
         news = suspect_exchange.news_for_asker(self._crashes, request.suspects)
         if news is None:
             return reply
         return msgspec.structs.replace(reply, suspects=news)
 
-    async def _ask(self, request: grant.TurnRequest) -> grant.TurnReply:
-        if self.desk is None:
+    async def _request_turn(
+        self, request: turn_messages.TurnRequest
+    ) -> turn_messages.TurnReply:
+        if self.granter is None:
             await self._until_ready(request.wait_ms / _MS_PER_S)
-        if self.desk is None:
-            return grant.TurnReply(
+        if self.granter is None:
+            return turn_messages.TurnReply(
                 backend_server=self.view.backend_server,
                 refusal=errors.ErrorKind.QUEUE_FULL,
                 detail='the sidecar is starting',
                 retry_after_ms=int(_STARTING_RETRY_S * _MS_PER_S),
                 configuration_version=self._table.version,
             )
-        return await self.desk.ask(request)
+        return await self.granter.request_turn(request)
 
-    async def end(self, message: grant.TurnEnds) -> grant.TurnEndsReply:
+    async def end_turns(
+        self, message: turn_messages.TurnEnds
+    ) -> turn_messages.TurnEndsReply:
         """Take back turns, and look at the engine where that is asked."""
-        if self.desk is not None:
-            await self.desk.end(message.turn_ids)
+        if self.granter is not None:
+            await self.granter.end_turns(message.turn_ids)
         if not message.asks_state or self._table.configuration is None:
-            return grant.TurnEndsReply()
+            return turn_messages.TurnEndsReply()
         async with self._looking:
             await self._look()
-        return grant.TurnEndsReply(
+        return turn_messages.TurnEndsReply(
             is_known=True,
             is_running=not self._is_down,
             backend_server=self.view.backend_server,
@@ -154,7 +160,7 @@
     @property
     def _interval_s(self) -> float:
         is_awaited = self.view.loading_count or self.view.is_starting
-        if self.desk is None or is_awaited:
+        if self.granter is None or is_awaited:
             return _LOADING_INTERVAL_S
         return _IDLE_INTERVAL_S
 
@@ -193,14 +199,14 @@
         await self._order_model(snapshot)
         self._begin(snapshot)
         self._reconcile(snapshot, asked_at_s)
-        if self.desk is not None:
-            await self.desk.end_stale(
+        if self.granter is not None:
+            await self.granter.end_stale(
                 snapshot.run_ids, asked_at_s, snapshot.queued > 0
             )
 
     async def _refuse_unless_serving(self) -> None:
-        if self.desk is not None and not self.view.is_serving:
-            await self.desk.refuse_pending()
+        if self.granter is not None and not self.view.is_serving:
+            await self.granter.refuse_pending()
 
     async def _attach(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
         before = self.view.backend_server
@@ -225,8 +231,8 @@
             self._adapters.drop_all()
         self.view.attach(incarnation, snapshot.started_at_ms)
         self._adopted_runs = frozenset()
-        if self.desk is not None:
-            await self.desk.end_all()
+        if self.granter is not None:
+            await self.granter.end_all()
 
     async def _order_model(
         self, snapshot: engine_snapshot.EngineSnapshot
@@ -273,7 +279,7 @@
 
     def _begin(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
         limits = self._table.engine_limits(self._service)
-        if self.desk is not None or limits is None:
+        if self.granter is not None or limits is None:
             return
         if snapshot.pending:
             # Loads of an earlier sidecar take slots that this one would
@@ -298,7 +304,7 @@
             limits.max_running,
             _LOOKAHEAD_COUNT,
             _MAX_QUEUED,
-            fair_order.FairOrder(
+            fair_queue.FairQueue(
                 limits.max_running,
                 lambda order: not order.path or adapters.holds(order.path),
                 self._clock,
@@ -306,8 +312,8 @@
             self._clock,
             lambda order: _wait_s(adapters, order),
         )
-        record = grant_record.GrantRecord(queue, self._metrics)
-        self.desk = grant_desk.GrantDesk(
+        record = turn_metrics.TurnMetrics(queue, self._metrics)
+        self.granter = turn_granter.TurnGranter(
             queue,
             adapters,
             self.view,
@@ -319,7 +325,7 @@
             self._crashes,
         )
         self._is_ready.set()
-        self._add_metrics(self.desk, record, adapters)
+        self._add_metrics(self.granter, record, adapters)
         log.info(
             'engine taken over',
             backend_server=self.view.backend_server,
@@ -330,8 +336,8 @@
 
     def _add_metrics(
         self,
-        desk: grant_desk.GrantDesk,
-        record: grant_record.GrantRecord,
+        granter: turn_granter.TurnGranter,
+        record: turn_metrics.TurnMetrics,
         adapters: slots_module.AdapterSlots,
     ) -> None:
         metrics = self._metrics
@@ -358,7 +364,7 @@
         metrics.gauge(
             'turns_held',
             'Turns that are granted or waited for.',
-            lambda: len(desk),
+            lambda: len(granter),
         )
         metrics.gauge(
             'engine_report_age_seconds',
--- a/lacewingpitch/fair_order.py
+++ b/lacewingpitch/fair_queue.py
@@ -11,13 +11,13 @@
 from lacewingpitch import turn_queue
 from lacewingpitch import work
 
-LEADS_S: Mapping[contract.Urgency, float] = {
+URGENCY_LEADS_S: Mapping[contract.Urgency, float] = {
     contract.Urgency.INTERACTIVE: 5.0,
     contract.Urgency.STANDARD: 1.0,
     contract.Urgency.BATCH: 0.0,
 }
 HELD_LEAD_S = 1.0
-PATIENCE_RATIO = 0.75
+AGING_RATIO = 0.75
 _MAX_PASSED_COUNT = 16
 _MAX_LOOK_COUNT = 16
 _MIN_SWEEP_COUNT = 64
@@ -46,7 +46,7 @@
     )
 
 
-class FairOrder:
+class FairQueue:
     """Start-time fair queueing by turn seconds over contract weight.
 
     A customer's position is what it used per unit of weight, less the
@@ -72,7 +72,7 @@
         urgency goes ahead.
     held_lead_s
         The same for a request whose adapter is held.
-    patience_ratio
+    aging_ratio
         Part of its deadline after which a request has every lead.
     """
 
@@ -81,13 +81,13 @@
         turn_count: int,
         holds: Holds,
         clock: clock_module.Clock,
-        leads_s: Mapping[contract.Urgency, float] = LEADS_S,
+        leads_s: Mapping[contract.Urgency, float] = URGENCY_LEADS_S,
         held_lead_s: float = HELD_LEAD_S,
-        patience_ratio: float = PATIENCE_RATIO,
+        aging_ratio: float = AGING_RATIO,
     ) -> None:
         self._holds = holds
         self._clock = clock
-        self._patience_ratio = patience_ratio
+        self._patience_ratio = aging_ratio
         self._leads_s = {u: s * turn_count for u, s in leads_s.items()}
         self._held_lead_s = held_lead_s * turn_count
         self._most_lead_s = max(self._leads_s.values()) + self._held_lead_s
@@ -120,7 +120,7 @@
         if not share.waiting:
             del self._backlog[customer]
 
-    def take(self) -> turn_queue.Waiter:
+    def pop(self) -> turn_queue.Waiter:
         """Return the request that gets a place; at least one waits."""
         rank, waiter, share = min(
             (self._choice(share) for share in self._backlog.values()),
--- a/lacewingpitch/fair_share.py
+++ b/lacewingpitch/fair_share.py
@@ -3,14 +3,15 @@
 import collections
 from collections.abc import Iterable
 
-from lacewingpitch import grant
+from lacewingpitch import turn_messages
 
 # Tolerance for random arrivals.
 _ALLOWED_RATIO = 1.5
 
 
 def is_above(
-    request: grant.TurnRequest, others: Iterable[grant.TurnRequest]
+    request: turn_messages.TurnRequest,
+    others: Iterable[turn_messages.TurnRequest],
 ) -> bool:
     """Whether its organisation would have more than its share of turns.
 
--- a/lacewingpitch/engine_hint.py
+++ b/lacewingpitch/hint_builder.py
@@ -8,7 +8,7 @@
 _MS_PER_S = 1000
 
 
-class EngineHint:
+class HintBuilder:
     """Makes the hint that goes with each reply."""
 
     def __init__(
--- a/lacewingpitch/isolation.py
+++ b/lacewingpitch/isolation.py
@@ -5,9 +5,9 @@
 from lacewingpitch import backend_list
 from lacewingpitch import crash_record
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import rendezvous
 from lacewingpitch import turn_lease
+from lacewingpitch import turn_messages
 
 # A request that crashes an engine does so as it begins to run.  One that
 # has had its turn for longer is no suspect to those that come after it.
@@ -37,7 +37,7 @@
 
     def refusal(
         self,
-        request: grant.TurnRequest,
+        request: turn_messages.TurnRequest,
         turns: Iterable[turn_lease.TurnLease],
         now_s: float,
     ) -> errors.RefusalError | None:
--- a/lacewingpitch/plain_turns.py
+++ b/lacewingpitch/plain_server_selector.py
@@ -7,13 +7,13 @@
 from lacewingpitch import crash_record
 from lacewingpitch import errors
 from lacewingpitch import isolation
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 
 _NO_SERVER_RETRY_S = 0.5
 _SUSPECT_RETRY_S = 0.5
 
 
-class PlainTurns:
+class PlainServerSelector:
     """Sends requests to plain services, and suspects one by one.
 
     No process beside a plain server counts for all entries: each sends one
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        services: service_choice.ServiceChoice,
+        services: service_balancer.ServiceBalancer,
         record: crash_record.CrashRecord,
     ) -> None:
         self._services = services
@@ -35,7 +35,7 @@
         self._is_isolating = False
 
     @contextlib.contextmanager
-    def turn(
+    def select(
         self,
         fingerprint: str,
         services: Sequence[str],
@@ -61,7 +61,7 @@
             if is_isolated:
                 exits.enter_context(self._isolating())
             server = self._choose(services, excluded, is_isolated)
-            exits.enter_context(self._services.sent(server))
+            exits.enter_context(self._services.track_request(server))
             yield server
 
     @contextlib.contextmanager
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -30,11 +30,11 @@
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import wire
 from lacewingpitch import retry_budget
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from lacewingpitch import settings as product_settings
-from lacewingpitch import start_wait
+from lacewingpitch import startup_grace
 from lacewingpitch import suspects as suspects_module
-from lacewingpitch import turn_source
+from lacewingpitch import turn_client
 from lacewingpitch import usage_limits
 from lacewingpitch import usage_owners
 
@@ -122,7 +122,7 @@
             self._process.metrics.seconds(
                 'request_seconds', 'Time from a request to its end.'
             ),
-            start_wait.StartWait(self._process.clock),
+            startup_grace.StartupGrace(self._process.clock),
             self._process.clock,
             self._access,
             self._usage,
@@ -175,7 +175,7 @@
             copies=kept_copies.KeptCopies(),
             instance=settings.instance,
         )
-        services = service_choice.ServiceChoice(
+        services = service_balancer.ServiceBalancer(
             self.servers,
             self.ejector,
             settings.availability_zone,
@@ -183,12 +183,12 @@
         )
         for forget in (
             placement.forget,
-            services.forget,
+            services.reset_latency,
             self.ejector.forget,
         ):
             subscription = self.servers.restarts.subscribe(forget)
             process.exits.callback(subscription.dispose)
-        turns = turn_source.TurnSource(
+        turns = turn_client.TurnClient(
             settings.instance,
             self._peers,
             self.servers,
--- a/lacewingpitch/platform/front.py
+++ b/lacewingpitch/platform/front.py
@@ -25,7 +25,7 @@
 from lacewingpitch.platform import response_delivery
 from lacewingpitch import routing
 from lacewingpitch import silent_connections
-from lacewingpitch import start_wait as start_wait_module
+from lacewingpitch import startup_grace as startup_grace_module
 from lacewingpitch import usage_limits
 
 _MS_PER_S = 1000
@@ -70,7 +70,7 @@
         table: routing.RoutingTable,
         serve: Serve,
         times: metrics_module.Seconds,
-        start_wait: start_wait_module.StartWait,
+        start_wait: startup_grace_module.StartupGrace,
         clock: clock_module.Clock,
         access: access_module.Access,
         usage: usage_limits.UsageLimits,
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -6,8 +6,7 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
 from lacewingpitch import crash_record
-from lacewingpitch import engine_keeper
-from lacewingpitch import grant
+from lacewingpitch import engine_controller
 from lacewingpitch import link
 from lacewingpitch import metrics_server
 from lacewingpitch.platform import engine as engine_module
@@ -16,6 +15,7 @@
 from lacewingpitch.platform import settings as settings_module
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import wire
+from lacewingpitch import turn_messages
 from lacewingpitch import usage_lease
 
 # Each waits for one turn.  More entries than this would wait at once only
@@ -60,7 +60,7 @@
                 self._process.metrics, settings.ip, settings.metrics_port
             )
         )
-        keeper = engine_keeper.EngineKeeper(
+        keeper = engine_controller.EngineController(
             engine,
             self._process.table,
             self._process.versions,
@@ -80,10 +80,12 @@
             wire.decode_configuration,
             self._process.clock,
         )
-        self._control.handle(grant.TurnRequest, keeper.ask)
-        self._control.handle(grant.TurnEnds, keeper.end)
-        self._control.handle(grant.ConfigurationRequest, exchange.answer)
-        self._control.handle(grant.ConfigurationOffer, exchange.accept)
+        self._control.handle(turn_messages.TurnRequest, keeper.request_turn)
+        self._control.handle(turn_messages.TurnEnds, keeper.end_turns)
+        self._control.handle(
+            turn_messages.ConfigurationRequest, exchange.answer
+        )
+        self._control.handle(turn_messages.ConfigurationOffer, exchange.accept)
         limits = usage_lease.UsageOwner(self._process.clock)
         self._control.handle(usage_lease.UsageAsk, limits.answer)
         store = store_module.Store(
--- a/lacewingpitch/run_time.py
+++ b/lacewingpitch/run_duration.py
@@ -8,7 +8,7 @@
 _PRIOR_RUNS = ((10.0, 0.1), (300.0, 0.1))
 
 
-class RunTimes:
+class RunDurationEstimator:
     """A straight line through what runs of known length took.
 
     Load it answers: answers of a few tokens and of hundreds at the same
--- a/lacewingpitch/service_choice.py
+++ b/lacewingpitch/service_balancer.py
@@ -28,7 +28,7 @@
     latency_s: float = _FIRST_LATENCY_S
 
 
-class ServiceChoice:
+class ServiceBalancer:
     """Sends requests where they are answered soonest, and well.
 
     Load it answers: plain services at 5 to 60% of what their servers
@@ -75,7 +75,9 @@
         )
 
     @contextlib.contextmanager
-    def sent(self, server: backend_list.BackendServer) -> Iterator[None]:
+    def track_request(
+        self, server: backend_list.BackendServer
+    ) -> Iterator[None]:
         """Count a request as under way while the context is open."""
         view = self._view(server.name)
         view.under_way_count += 1
@@ -84,12 +86,12 @@
         finally:
             view.under_way_count -= 1
 
-    def answered(self, name: str, latency_s: float) -> None:
+    def record_latency(self, name: str, latency_s: float) -> None:
         """Take note of how long an answer took."""
         view = self._view(name)
         view.latency_s += _SMOOTHING_RATIO * (latency_s - view.latency_s)
 
-    def forget(self, name: str) -> None:
+    def reset_latency(self, name: str) -> None:
         """Forget how quick a server was: it has started again."""
         view = self._views.get(name)
         if view is not None:
--- a/lacewingpitch/start_wait.py
+++ b/lacewingpitch/startup_grace.py
@@ -10,7 +10,7 @@
 _MAX_RATIO = 1.0 / 3.0
 
 
-class StartWait:
+class StartupGrace:
     """Lets requests wait while their process learns what is published.
 
     Load it answers: all callers whose connections were cut as processes
--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -7,7 +7,7 @@
 from lacewingpitch import isolation
 from lacewingpitch import placed_instances
 from lacewingpitch import placement as placement_module
-from lacewingpitch import wanted_turn
+from lacewingpitch import turn_spec
 
 # More engines than these would only spread one request's wait: those
 # further down are the most loaded, or the last to get the adapter.
@@ -29,7 +29,7 @@
         self._instances = placed_instances.PlacedInstances(servers, placement)
 
     def to_ask(
-        self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
+        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
         """Return the engines whose sidecars are asked, in their order."""
         instances = self._instances.of(wanted.service)
@@ -50,7 +50,7 @@
         return chosen[:_MAX_ASKED]
 
     def isolated(
-        self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
+        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> backend_list.BackendServer | None:
         """Return the engine to which suspect requests go."""
         servers = [
@@ -65,8 +65,8 @@
         )
 
     def any_holding(
-        self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
-    ) -> wanted_turn.Turn | None:
+        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    ) -> turn_spec.Turn | None:
         """Return a turn at any engine that is known to hold the adapter."""
         for server in self._servers.serving(wanted.service):
             if server.name not in excluded:
@@ -83,8 +83,8 @@
 
 def without_sidecar(
     server: backend_list.BackendServer,
-    wanted: wanted_turn.WantedTurn,
-) -> wanted_turn.Turn | None:
+    wanted: turn_spec.TurnSpec,
+) -> turn_spec.Turn | None:
     """Return a turn at an engine that is known to hold the adapter.
 
     An engine serves on while its sidecar is frozen or restarts.  It
@@ -92,8 +92,8 @@
     costs an attempt and no wrong answer.
     """
     if not wanted.adapter:
-        return wanted_turn.Turn(server, 0)
+        return turn_spec.Turn(server, 0)
     held = server.adapters.get(f'{wanted.model}/{wanted.adapter}')
     if held is None or held < wanted.version:
         return None
-    return wanted_turn.Turn(server, held)
+    return turn_spec.Turn(server, held)
--- a/lacewingpitch/turn_source.py
+++ b/lacewingpitch/turn_client.py
@@ -16,14 +16,14 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import crash_record
 from lacewingpitch import ejection
-from lacewingpitch import ended_turns
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import isolation
 from lacewingpitch import placement as placement_module
 from lacewingpitch import suspects as suspects_module
 from lacewingpitch import turn_candidates
-from lacewingpitch import wanted_turn
+from lacewingpitch import turn_end_reporter
+from lacewingpitch import turn_messages
+from lacewingpitch import turn_spec
 
 _MS_PER_S = 1000
 # A sidecar replies within this time, if only that the turn is pending, so
@@ -64,7 +64,7 @@
         default_factory=list
     )
     refused_waits_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    fallback: wanted_turn.Turn | None = None
+    fallback: turn_spec.Turn | None = None
 
     @property
     def are_all_starting(self) -> bool:
@@ -72,17 +72,17 @@
         return len(self.starting) == len(self.refusals) > 0
 
 
-class SidecarLink(ended_turns.EndsLink, Protocol):
+class SidecarLink(turn_end_reporter.EndsLink, Protocol):
     """Messages to the sidecars of engines."""
 
-    async def ask_turn(
-        self, ip: str, request: grant.TurnRequest, timeout_s: float
-    ) -> grant.TurnReply:
+    async def request_turn(
+        self, ip: str, request: turn_messages.TurnRequest, timeout_s: float
+    ) -> turn_messages.TurnReply:
         """Request a turn."""
         ...
 
 
-class TurnSource:
+class TurnClient:
     """Selects an engine for a request and acquires a turn from its sidecar.
 
     Parameters
@@ -122,12 +122,12 @@
             servers, placement, ejector
         )
         self._suspects = suspects
-        self._ended = ended_turns.EndedTurns(link, suspects.watch)
+        self._ended = turn_end_reporter.TurnEndReporter(link, suspects.watch)
 
     @contextlib.asynccontextmanager
-    async def turn(
-        self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
-    ) -> AsyncIterator[wanted_turn.Turn]:
+    async def acquire(
+        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    ) -> AsyncIterator[turn_spec.Turn]:
         """Acquire a turn and hold it while the context is open.
 
         Parameters
@@ -153,8 +153,8 @@
         await self._ended.run()
 
     async def _acquire(
-        self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
-    ) -> tuple[wanted_turn.Turn, bool]:
+        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    ) -> tuple[turn_spec.Turn, bool]:
         handling = self._suspects.record.handling(wanted.fingerprint)
         if handling is crash_record.Handling.REFUSED:
             raise isolation.refused(self._suspects.record, wanted.fingerprint)
@@ -186,8 +186,8 @@
         raise _earliest_retry(replies.refusals)
 
     async def _acquire_isolated(
-        self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
-    ) -> wanted_turn.Turn:
+        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    ) -> turn_spec.Turn:
         """Acquire a turn at the one engine that runs suspect requests."""
         server = self._candidates.isolated(wanted, excluded)
         if server is None:
@@ -206,7 +206,7 @@
             self._record_silence(server, wanted, error)
             raise _earliest_retry([]) from error
 
-    def _acceptable_wait_s(self, wanted: wanted_turn.WantedTurn) -> float:
+    def _acceptable_wait_s(self, wanted: turn_spec.TurnSpec) -> float:
         """Return the wait up to which an engine is accepted at once."""
         remaining_s = wanted.target_at_s - self._clock.monotonic_s()
         return max(0.0, _ACCEPT_TARGET_RATIO * remaining_s)
@@ -214,9 +214,9 @@
     async def _try_shortest_wait(
         self,
         candidates: Sequence[backend_list.BackendServer],
-        wanted: wanted_turn.WantedTurn,
+        wanted: turn_spec.TurnSpec,
         replies: _Replies,
-    ) -> wanted_turn.Turn | None:
+    ) -> turn_spec.Turn | None:
         """Retry the server that reported the shortest wait."""
         refusing = [
             s for s in candidates if replies.refused_waits_s.get(s.name)
@@ -231,10 +231,10 @@
     async def _try_server(
         self,
         server: backend_list.BackendServer,
-        wanted: wanted_turn.WantedTurn,
+        wanted: turn_spec.TurnSpec,
         replies: _Replies,
         accept_within_s: float = 0.0,
-    ) -> wanted_turn.Turn | None:
+    ) -> turn_spec.Turn | None:
         """Request a turn of one sidecar, and record why there is none."""
         try:
             return await self._request(
@@ -257,8 +257,8 @@
     async def _await_start(
         self,
         server: backend_list.BackendServer,
-        wanted: wanted_turn.WantedTurn,
-    ) -> wanted_turn.Turn:
+        wanted: turn_spec.TurnSpec,
+    ) -> turn_spec.Turn:
         """Acquire a turn at an engine that will serve within seconds."""
         log.info(
             'waiting for an engine to start',
@@ -277,7 +277,7 @@
     def _record_silence(
         self,
         server: backend_list.BackendServer,
-        wanted: wanted_turn.WantedTurn,
+        wanted: turn_spec.TurnSpec,
         error: errors.NoReplyError,
     ) -> None:
         self._ejector.silent(turn_candidates.sidecar_key(server.name))
@@ -291,12 +291,12 @@
     async def _request(
         self,
         server: backend_list.BackendServer,
-        wanted: wanted_turn.WantedTurn,
+        wanted: turn_spec.TurnSpec,
         replies: _Replies,
         waits_for_engine: bool = False,
         accept_within_s: float = 0.0,
         is_isolated: bool = False,
-    ) -> wanted_turn.Turn:
+    ) -> turn_spec.Turn:
         key = turn_candidates.sidecar_key(server.name)
         self._ejector.begin(key)
         try:
@@ -314,17 +314,17 @@
     async def _request_until_settled(
         self,
         server: backend_list.BackendServer,
-        wanted: wanted_turn.WantedTurn,
+        wanted: turn_spec.TurnSpec,
         replies: _Replies,
         waits_for_engine: bool,
         accept_within_s: float,
         is_isolated: bool,
-    ) -> wanted_turn.Turn:
+    ) -> turn_spec.Turn:
         while True:
             now_s = self._clock.monotonic_s()
             remaining_s = self._remaining_s(wanted)
             wait_s = max(0.0, min(_REPLY_WITHIN_S, remaining_s))
-            request = grant.TurnRequest(
+            request = turn_messages.TurnRequest(
                 entry=self._instance,
                 turn_id=wanted.turn_id,
                 run_id=wanted.run_id,
@@ -349,7 +349,7 @@
                 suspects=self._suspects.exchange.news_for(server.ip),
             )
             try:
-                reply = await self._link.ask_turn(
+                reply = await self._link.request_turn(
                     server.ip, request, wait_s + _REPLY_MARGIN_S
                 )
             except BaseException:
@@ -375,7 +375,7 @@
                 self._ended.note(server.ip, wanted.turn_id)
                 raise self._suspect_error(wanted)
             if not reply.is_pending:
-                turn = wanted_turn.Turn(
+                turn = turn_spec.Turn(
                     self._granting_server(server, reply), reply.version
                 )
                 self._check_listed(wanted, server, turn)
@@ -387,12 +387,12 @@
                     'no turn before the deadline of the request',
                 )
 
-    def _is_suspect(self, wanted: wanted_turn.WantedTurn) -> bool:
+    def _is_suspect(self, wanted: turn_spec.TurnSpec) -> bool:
         handling = self._suspects.record.handling(wanted.fingerprint)
         return handling is not crash_record.Handling.FREE
 
     def _suspect_error(
-        self, wanted: wanted_turn.WantedTurn
+        self, wanted: turn_spec.TurnSpec
     ) -> errors.RefusalError:
         """Return the error for a request that became suspect meanwhile."""
         record = self._suspects.record
@@ -402,7 +402,9 @@
         return isolation.to_isolate()
 
     def _granting_server(
-        self, server: backend_list.BackendServer, reply: grant.TurnReply
+        self,
+        server: backend_list.BackendServer,
+        reply: turn_messages.TurnReply,
     ) -> backend_list.BackendServer:
         # The sidecar sees a restart of its engine before the backend list
         # shows it, and grants a turn at the new incarnation.
@@ -416,9 +418,9 @@
 
     def _check_listed(
         self,
-        wanted: wanted_turn.WantedTurn,
+        wanted: turn_spec.TurnSpec,
         server: backend_list.BackendServer,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
     ) -> None:
         # The engine may have announced that it is leaving while the turn
         # was pending.  The backend list can show this before the sidecar
@@ -433,7 +435,9 @@
             )
 
     def _apply_reply(
-        self, server: backend_list.BackendServer, reply: grant.TurnReply
+        self,
+        server: backend_list.BackendServer,
+        reply: turn_messages.TurnReply,
     ) -> None:
         is_current = self._servers.note_start(server.name, reply.started_at_ms)
         if reply.hint is not None and is_current:
@@ -441,7 +445,7 @@
         self._on_configuration_version(server.ip, reply.configuration_version)
         self._on_entry_count(reply.entry_count)
 
-    def _remaining_s(self, wanted: wanted_turn.WantedTurn) -> float:
+    def _remaining_s(self, wanted: turn_spec.TurnSpec) -> float:
         return wanted.start_by_s - self._clock.monotonic_s()
 
 
--- a/lacewingpitch/turn_time.py
+++ b/lacewingpitch/turn_duration.py
@@ -39,7 +39,7 @@
         return self.turn_s.value
 
 
-class TurnTimes:
+class TurnDurationEstimator:
     """Predicts turns from what the customer's earlier ones took.
 
     The prediction grows with ``max_tokens`` where the caller gave it.
--- a/lacewingpitch/ended_turns.py
+++ b/lacewingpitch/turn_end_reporter.py
@@ -10,7 +10,7 @@
 from lacewingpitch import backend_list
 from lacewingpitch import crash_watch
 from lacewingpitch import errors
-from lacewingpitch import grant
+from lacewingpitch import turn_messages
 
 # Ends of turns are sent together: fewer messages, while a place stays
 # taken hardly longer.
@@ -24,8 +24,8 @@
     """Messages to the sidecars of engines."""
 
     async def end_turns(
-        self, ip: str, message: grant.TurnEnds, timeout_s: float
-    ) -> grant.TurnEndsReply:
+        self, ip: str, message: turn_messages.TurnEnds, timeout_s: float
+    ) -> turn_messages.TurnEndsReply:
         """Say that turns have ended."""
         ...
 
@@ -40,7 +40,7 @@
     )
 
 
-class EndedTurns:
+class TurnEndReporter:
     """Gathers the turns that ended, and sends them to their sidecars.
 
     Parameters
@@ -93,7 +93,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def _send(self, ip: str, ends: _Ends) -> None:
-        message = grant.TurnEnds(
+        message = turn_messages.TurnEnds(
             turn_ids=tuple(ends.turn_ids), asks_state=bool(ends.servers)
         )
         try:
@@ -117,7 +117,7 @@
 
 
 def _is_running(
-    server: backend_list.BackendServer, reply: grant.TurnEndsReply
+    server: backend_list.BackendServer, reply: turn_messages.TurnEndsReply
 ) -> bool:
     if not reply.is_running or reply.backend_server != server.name:
         return False
--- a/lacewingpitch/grant_desk.py
+++ b/lacewingpitch/turn_granter.py
@@ -11,24 +11,24 @@
 
 import structlog
 
+from lacewingpitch import active_entries
 from lacewingpitch import admission as admission_module
-from lacewingpitch import asking_entries
 from lacewingpitch import batch_forecast
 from lacewingpitch import clock as clock_module
 from lacewingpitch import contract
 from lacewingpitch import crash_record
-from lacewingpitch import engine_hint
 from lacewingpitch import errors
-from lacewingpitch import expected_wait
 from lacewingpitch import fair_share
-from lacewingpitch import grant
-from lacewingpitch import grant_record
+from lacewingpitch import hint_builder
 from lacewingpitch import isolation
 from lacewingpitch import prefill_pacer
-from lacewingpitch import run_time
+from lacewingpitch import run_duration
 from lacewingpitch import slots as slots_module
 from lacewingpitch import turn_lease
+from lacewingpitch import turn_messages
+from lacewingpitch import turn_metrics
 from lacewingpitch import turn_queue
+from lacewingpitch import wait_estimator
 from lacewingpitch import work
 
 _MS_PER_S = 1000
@@ -64,7 +64,7 @@
         ...
 
 
-class GrantDesk:
+class TurnGranter:
     """Grants and ends the turns of one engine.
 
     A turn ends when its entry ends it, when the engine no longer runs its
@@ -87,7 +87,7 @@
         clock: clock_module.Clock,
         configuration_version: Callable[[], int],
         source: random.Random,
-        record: grant_record.GrantRecord,
+        record: turn_metrics.TurnMetrics,
         crashes: crash_record.CrashRecord,
     ) -> None:
         self._record = record
@@ -99,22 +99,24 @@
         self._clock = clock
         self._configuration_version = configuration_version
         self._turns: dict[str, turn_lease.TurnLease] = {}
-        self._entries = asking_entries.AskingEntries(clock)
-        self._expected_wait = expected_wait.ExpectedWait(
+        self._entries = active_entries.ActiveEntries(clock)
+        self._expected_wait = wait_estimator.WaitEstimator(
             adapters,
             batch_forecast.BatchForecast(self._turns, queue.turn_count, clock),
             pacer,
         )
-        self._hint = engine_hint.EngineHint(queue, adapters, pacer)
+        self._hint = hint_builder.HintBuilder(queue, adapters, pacer)
         self._admission = admission_module.Admission(engine, source)
-        self._run_times = run_time.RunTimes()
+        self._run_times = run_duration.RunDurationEstimator()
         self._awaiting_start_count = 0
 
     def __len__(self) -> int:
         """Return the number of granted and pending turns."""
         return len(self._turns)
 
-    async def ask(self, request: grant.TurnRequest) -> grant.TurnReply:
+    async def request_turn(
+        self, request: turn_messages.TurnRequest
+    ) -> turn_messages.TurnReply:
         """Grant or refuse a turn, or reply that it is still pending."""
         self._entries.note(request.entry)
         if self._must_await_start(request):
@@ -153,7 +155,7 @@
             return self._refused(request, refusal)
         return turn.task.result()
 
-    async def end(self, turn_ids: Iterable[str]) -> None:
+    async def end_turns(self, turn_ids: Iterable[str]) -> None:
         """End turns."""
         for turn_id in turn_ids:
             turn = self._turns.get(turn_id)
@@ -203,7 +205,9 @@
                 await self._end(turn_id)
 
     def _exceeds_fair_share(
-        self, request: grant.TurnRequest, wait: expected_wait.Wait
+        self,
+        request: turn_messages.TurnRequest,
+        wait: wait_estimator.WaitEstimate,
     ) -> bool:
         # While turns are free, a further one delays no other organisation.
         if not wait.turn_s:
@@ -212,7 +216,7 @@
             request, (turn.request for turn in self._turns.values())
         )
 
-    def _must_await_start(self, request: grant.TurnRequest) -> bool:
+    def _must_await_start(self, request: turn_messages.TurnRequest) -> bool:
         return self._admission.awaits_start(
             request, self._awaiting_start_count
         )
@@ -228,7 +232,9 @@
             self._awaiting_start_count -= 1
 
     def _add_turn(
-        self, request: grant.TurnRequest, wait: expected_wait.Wait
+        self,
+        request: turn_messages.TurnRequest,
+        wait: wait_estimator.WaitEstimate,
     ) -> turn_lease.TurnLease:
         now_s = self._clock.monotonic_s()
         until_s = now_s + request.deadline_ms / _MS_PER_S
@@ -242,7 +248,9 @@
         turn.task = asyncio.create_task(self._acquire(turn))
         return turn
 
-    async def _acquire(self, turn: turn_lease.TurnLease) -> grant.TurnReply:
+    async def _acquire(
+        self, turn: turn_lease.TurnLease
+    ) -> turn_messages.TurnReply:
         request = turn.request
         try:
             await self._acquire_resources(turn)
@@ -263,11 +271,11 @@
         name = self._slot_name(request)
         order = self._order(request, name)
         reservation = await turn.resources.enter_async_context(
-            self._queue.place(order)
+            self._queue.reserve(order)
         )
         turn.record_step(self._clock.monotonic_s())
         if name:
-            waited_s = self._clock.monotonic_s() - turn.asked_at_s
+            waited_s = self._clock.monotonic_s() - turn.requested_at_s
             left_s = request.start_within_ms / _MS_PER_S - waited_s
             await turn.resources.enter_async_context(
                 self._adapters.hold(
@@ -282,7 +290,9 @@
             request.prompt_tokens, request.flow, request.rank, request.weight
         )
 
-    def _expected_slot_use_s(self, request: grant.TurnRequest) -> float:
+    def _expected_slot_use_s(
+        self, request: turn_messages.TurnRequest
+    ) -> float:
         """Return how long a request is expected to use its adapter slot."""
         prompt_s = self._pacer.wait_s(
             request.prompt_tokens,
@@ -292,7 +302,7 @@
         )
         return prompt_s + self._expected_run_s(request)
 
-    def _expected_run_s(self, request: grant.TurnRequest) -> float:
+    def _expected_run_s(self, request: turn_messages.TurnRequest) -> float:
         return self._run_times.expected_s(
             request.expected_tokens or request.max_tokens
         )
@@ -317,14 +327,16 @@
         turn.expected.close()
         await turn.resources.aclose()
 
-    def _slot_name(self, request: grant.TurnRequest) -> str:
+    def _slot_name(self, request: turn_messages.TurnRequest) -> str:
         if not request.adapter:
             return ''
         return self._engine.slot_name(
             request.model, request.adapter, request.version
         )
 
-    def _order(self, request: grant.TurnRequest, name: str) -> work.WorkOrder:
+    def _order(
+        self, request: turn_messages.TurnRequest, name: str
+    ) -> work.WorkOrder:
         # The queue schedules flows, that is the routes of organisations, as
         # it schedules customers with contracts: each flow gets its share of
         # the turns, and urgent routes go ahead.
@@ -348,11 +360,11 @@
 
     def _refused(
         self,
-        request: grant.TurnRequest,
+        request: turn_messages.TurnRequest,
         error: errors.RefusalError,
         wait_s: float = 0.0,
         is_above_share: bool = False,
-    ) -> grant.TurnReply:
+    ) -> turn_messages.TurnReply:
         self._record.refused(request, error, is_above_share)
         return self._reply(
             refusal=error.kind,
@@ -369,8 +381,8 @@
         detail: str = '',
         retry_after_ms: int = 0,
         wait_ms: int = 0,
-    ) -> grant.TurnReply:
-        return grant.TurnReply(
+    ) -> turn_messages.TurnReply:
+        return turn_messages.TurnReply(
             backend_server=self._engine.backend_server,
             version=version,
             is_pending=is_pending,
--- a/lacewingpitch/turn_lease.py
+++ b/lacewingpitch/turn_lease.py
@@ -6,8 +6,8 @@
 import itertools
 
 from lacewingpitch import errors
-from lacewingpitch import expected_wait as expected_wait_module
-from lacewingpitch import grant
+from lacewingpitch import turn_messages
+from lacewingpitch import wait_estimator
 
 _MS_PER_S = 1000
 # Number of completed steps: a queue reservation, the adapter, a turn in the
@@ -43,12 +43,12 @@
         Queue reservation, adapter and turn, released together.
     """
 
-    request: grant.TurnRequest
-    asked_at_s: float
+    request: turn_messages.TurnRequest
+    requested_at_s: float
     until_s: float
-    expected_wait: expected_wait_module.Wait
+    expected_wait: wait_estimator.WaitEstimate
     run_s: float = 0.0
-    task: asyncio.Task[grant.TurnReply] | None = None
+    task: asyncio.Task[turn_messages.TurnReply] | None = None
     refusal: errors.RefusalError | None = None
     granted_at_s: float | None = None
     last_reported_s: float | None = None
@@ -101,7 +101,7 @@
 
     def waits_ms(self, granted_at_s: float) -> dict[str, int]:
         """Return the wait of a granted turn for each of its steps."""
-        times_s = [self.asked_at_s, *self._steps_at_s, granted_at_s]
+        times_s = [self.requested_at_s, *self._steps_at_s, granted_at_s]
         return {
             name: round((after_s - before_s) * _MS_PER_S)
             for name, (before_s, after_s) in zip(
--- a/lacewingpitch/grant_record.py
+++ b/lacewingpitch/turn_metrics.py
@@ -3,17 +3,17 @@
 import structlog
 
 from lacewingpitch import errors
-from lacewingpitch import expected_wait
-from lacewingpitch import grant
 from lacewingpitch import metrics as metrics_module
 from lacewingpitch import turn_lease
+from lacewingpitch import turn_messages
 from lacewingpitch import turn_queue
+from lacewingpitch import wait_estimator
 
 _MS_PER_S = 1000
 log = structlog.get_logger(__name__)
 
 
-class GrantRecord:
+class TurnMetrics:
     """Logs and counts what becomes of turns."""
 
     def __init__(
@@ -39,7 +39,7 @@
         self.granted_count += 1
         request = turn.request
         expected = turn.expected_wait
-        waited_s = turn.granted_at_s - turn.asked_at_s
+        waited_s = turn.granted_at_s - turn.requested_at_s
         waits_ms = turn.waits_ms(turn.granted_at_s)
         self._wait_times.observe('route', request.route, waited_s)
         self._note_errors(expected, waits_ms)
@@ -54,7 +54,7 @@
             expected_tokens=request.expected_tokens,
             waited_ms=round(waited_s * _MS_PER_S),
             expected_ms=round(expected.total_s * _MS_PER_S),
-            expected_place_ms=round(expected.place_s * _MS_PER_S),
+            expected_place_ms=round(expected.slot_s * _MS_PER_S),
             expected_load_ms=round(expected.load_s * _MS_PER_S),
             expected_turn_ms=round(expected.turn_s * _MS_PER_S),
             **waits_ms,
@@ -64,7 +64,7 @@
 
     def refused(
         self,
-        request: grant.TurnRequest,
+        request: turn_messages.TurnRequest,
         error: errors.RefusalError,
         is_above_share: bool,
     ) -> None:
@@ -91,12 +91,12 @@
         log.info(
             'turn lapsed',
             request_id=turn.request.run_id,
-            age_s=round(now_s - turn.asked_at_s, 3),
+            age_s=round(now_s - turn.requested_at_s, 3),
             past_deadline=now_s >= turn.until_s,
         )
 
     def _note_errors(
-        self, expected: expected_wait.Wait, waits_ms: dict[str, int]
+        self, expected: wait_estimator.WaitEstimate, waits_ms: dict[str, int]
     ) -> None:
         for part, expected_s, waited_ms in (
             ('adapter', expected.adapter_s, waits_ms['adapter_ms']),
--- a/lacewingpitch/turn_queue.py
+++ b/lacewingpitch/turn_queue.py
@@ -12,7 +12,7 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import errors
-from lacewingpitch import turn_time
+from lacewingpitch import turn_duration
 from lacewingpitch import work
 
 RECHECK_INTERVAL_S = 0.2
@@ -90,7 +90,7 @@
         return ahead_s * (self.until_s - self.since_s) / self.granted_s
 
 
-class Order(Protocol):
+class QueueDiscipline(Protocol):
     """Queue discipline: selects the request that is reserved next."""
 
     def add(self, waiter: Waiter) -> None:
@@ -101,7 +101,7 @@
         """Remove a request that leaves without a reservation."""
         ...
 
-    def take(self) -> Waiter:
+    def pop(self) -> Waiter:
         """Remove and return the next request; one must be queued."""
         ...
 
@@ -129,7 +129,7 @@
     estimated_wait_s: float
 
 
-class Place:
+class Reservation:
     """A request's reservation, kept while the request prepares."""
 
     def __init__(self, queue: 'TurnQueue', waiter: Waiter) -> None:
@@ -170,7 +170,7 @@
     max_queued
         Maximum number of requests without a reservation, over all
         customers.
-    order
+    discipline
         Queue discipline.
     prepare_wait_s
         Returns how long a request that arrives now would prepare.
@@ -181,7 +181,7 @@
         turn_count: int,
         lookahead_count: int,
         max_queued: int,
-        order: Order,
+        discipline: QueueDiscipline,
         clock: clock_module.Clock,
         prepare_wait_s: Callable[[work.WorkOrder], float] = _no_preparation,
     ) -> None:
@@ -189,9 +189,9 @@
         self._turn_count = turn_count
         self._max_reserved = turn_count + lookahead_count
         self._max_queued = max_queued
-        self._order = order
+        self._discipline = discipline
         self._clock = clock
-        self._turn_times = turn_time.TurnTimes()
+        self._turn_times = turn_duration.TurnDurationEstimator()
         self._waiting: dict[Waiter, None] = {}
         self._reserved: dict[Waiter, None] = {}
         self._prepared: dict[Waiter, None] = {}
@@ -219,7 +219,9 @@
         return QueueLoad(self.queued, self.running, self._wait_at_tail_s())
 
     @contextlib.asynccontextmanager
-    async def place(self, order: work.WorkOrder) -> AsyncIterator[Place]:
+    async def reserve(
+        self, order: work.WorkOrder
+    ) -> AsyncIterator[Reservation]:
         """Acquire a reservation and hold it while the context is open.
 
         Raises
@@ -234,13 +236,13 @@
         # would leak, and the backend server would lose capacity.
         try:
             await waiter.reserved
-            yield Place(self, waiter)
+            yield Reservation(self, waiter)
         finally:
             self._leave(waiter)
 
     @contextlib.asynccontextmanager
     async def turn(self, waiter: Waiter) -> AsyncIterator[None]:
-        """Acquire a turn; see `Place.turn`."""
+        """Acquire a turn; see `Reservation.turn`."""
         self._prepared[waiter] = None
         self._grant_turns()
         try:
@@ -296,7 +298,7 @@
             self._remove(waiter)
         elif waiter in self._reserved:
             del self._reserved[waiter]
-            self._order.finish(waiter, waiter.used_s)
+            self._discipline.finish(waiter, waiter.used_s)
             self._assign_reservations()
 
     def _add(self, waiter: Waiter) -> None:
@@ -307,10 +309,10 @@
                 waiter.arrived_s, waiter.arrived_s
             )
         self._backlogs[customer].count += 1
-        self._order.add(waiter)
+        self._discipline.add(waiter)
 
     def _remove(self, waiter: Waiter) -> None:
-        self._order.remove(waiter)
+        self._discipline.remove(waiter)
         self._discard_waiting(waiter)
 
     def _discard_waiting(self, waiter: Waiter) -> None:
@@ -329,7 +331,7 @@
 
     def _assign_reservations(self) -> None:
         while self._waiting and self._can_reserve():
-            waiter = self._order.take()
+            waiter = self._discipline.pop()
             waiter.reserved_s = self._clock.monotonic_s()
             backlog = self._backlogs[waiter.order.customer]
             backlog.record_grant(waiter.cost_s, waiter.reserved_s)
@@ -464,7 +466,7 @@
             if waiter not in self._running:
                 yield waiter, free_in_s[0]
                 heapq.heapreplace(free_in_s, free_in_s[0] + waiter.cost_s)
-        for waiter in self._order.forecast():
+        for waiter in self._discipline.forecast():
             customer = waiter.order.customer
             wait_s = max(
                 free_in_s[0],
--- a/lacewingpitch/wanted_turn.py
+++ b/lacewingpitch/turn_spec.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WantedTurn:
+class TurnSpec:
     """What a request needs of an engine.
 
     Parameters
--- a/lacewingpitch/expected_wait.py
+++ b/lacewingpitch/wait_estimator.py
@@ -3,9 +3,9 @@
 import dataclasses
 from typing import Protocol
 
-from lacewingpitch import grant
 from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
+from lacewingpitch import turn_messages
 
 # What is expected until a place is free is a mean; runs last longer and
 # shorter by chance.  Counted so many times, most of those that are let in
@@ -30,12 +30,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wait:
+class WaitEstimate:
     """What a request is expected to wait for.
 
     Parameters
     ----------
-    place_s
+    slot_s
         A place for its adapter.
     load_s
         The adapter's load, once it has a place.
@@ -45,7 +45,7 @@
         The prompts ahead of its own, once it has its turn.
     """
 
-    place_s: float = 0.0
+    slot_s: float = 0.0
     load_s: float = 0.0
     turn_s: float = 0.0
     prompt_s: float = 0.0
@@ -53,7 +53,7 @@
     @property
     def adapter_s(self) -> float:
         """Return what it waits for its adapter."""
-        return self.place_s + self.load_s
+        return self.slot_s + self.load_s
 
     @property
     def total_s(self) -> float:
@@ -61,7 +61,7 @@
         return self.adapter_s + self.turn_s + self.prompt_s
 
 
-class ExpectedWait:
+class WaitEstimator:
     """The one account of what a request at an engine would wait.
 
     Admission, the time to come back and the hints to entries all use it,
@@ -88,7 +88,9 @@
         self._batch = batch
         self._pacer = pacer
 
-    def of(self, request: grant.TurnRequest, name: str) -> Wait:
+    def of(
+        self, request: turn_messages.TurnRequest, name: str
+    ) -> WaitEstimate:
         """Return what a request would wait that came now.
 
         Parameters
@@ -99,7 +101,7 @@
         found = place_forecast.AdapterWait()
         if name:
             found = self._adapters.expected_wait(name)
-        place_s = _CAUTION * found.place_s
+        slot_s = _CAUTION * found.place_s
         turn_s = self._batch.wait_s(
             found.total_s, request.flow, request.weight
         )
@@ -107,7 +109,7 @@
             request.prompt_tokens,
             request.flow,
             request.rank,
-            place_s + found.load_s + turn_s,
+            slot_s + found.load_s + turn_s,
             request.weight,
         )
-        return Wait(place_s, found.load_s, turn_s, prompt_s)
+        return WaitEstimate(slot_s, found.load_s, turn_s, prompt_s)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,9 +8,9 @@
 
 from lacewingpitch import admission
 from lacewingpitch import errors
-from lacewingpitch import grant
+from lacewingpitch import turn_messages
 
-REQUEST = grant.TurnRequest(
+REQUEST = turn_messages.TurnRequest(
     entry='edge-1',
     turn_id='r.1',
     run_id='r',
--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -9,17 +9,17 @@
 from benchmarks import virtual_time
 from lacewingpitch import batch_forecast
 from lacewingpitch import errors
-from lacewingpitch import expected_wait
 from lacewingpitch import routing
 from lacewingpitch import turn_lease
+from lacewingpitch import wait_estimator
 from tests import fake_engine
 from tests import test_admission
-from tests import test_engine_keeper
+from tests import test_engine_controller
 
 
 def lease(run_s, steps, granted_at_s=None):
     found = turn_lease.TurnLease(
-        test_admission.REQUEST, 0.0, 12.0, expected_wait.Wait(), run_s
+        test_admission.REQUEST, 0.0, 12.0, wait_estimator.WaitEstimate(), run_s
     )
     for _ in range(steps):
         found.record_step(0.0)
@@ -63,7 +63,7 @@
         test_admission.REQUEST, organisation=organisation
     )
     return turn_lease.TurnLease(
-        request, 0.0, 12.0, expected_wait.Wait(), run_s
+        request, 0.0, 12.0, wait_estimator.WaitEstimate(), run_s
     )
 
 
@@ -130,7 +130,7 @@
 
             await asyncio.gather(*map(one, range(self.REQUEST_COUNT)))
 
-        test_engine_keeper.play(story, limits=limits, slot_count=11)
+        test_engine_controller.play(story, limits=limits, slot_count=11)
         return waits_s, refusals
 
     @pytest.mark.parametrize('seed', [3, 4, 5])
--- a/tests/test_carrier.py
+++ b/tests/test_carrier.py
@@ -17,9 +17,9 @@
 from lacewingpitch import request_fingerprint
 from lacewingpitch import retry_budget
 from lacewingpitch import routing
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from lacewingpitch import suspects
-from lacewingpitch import wanted_turn
+from lacewingpitch import turn_spec
 
 Kind = routing.RequestKind
 Outcome = errors.Outcome
@@ -119,12 +119,12 @@
         self.open_count = 0
 
     @contextlib.asynccontextmanager
-    async def turn(self, wanted, excluded):
+    async def acquire(self, wanted, excluded):
         self.wanted.append(wanted)
         name = next(n for n in SERVERS if n not in excluded)
         self.open_count += 1
         try:
-            yield wanted_turn.Turn(server(name), 3)
+            yield turn_spec.Turn(server(name), 3)
         finally:
             self.open_count -= 1
 
@@ -150,7 +150,9 @@
         self.carrier = carrier.Carrier(
             self.client,
             self.turns,
-            service_choice.ServiceChoice(servers, self.ejector, 'z', source),
+            service_balancer.ServiceBalancer(
+                servers, self.ejector, 'z', source
+            ),
             self.ejector,
             retry_budget.ServiceBudgets(0.2, allowance, 1),
             adapter_versions.AdapterVersions(),
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -6,8 +6,8 @@
 from benchmarks import virtual_time
 from lacewingpitch import configuration_exchange
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import routing
+from lacewingpitch import turn_messages
 
 
 def decode(content):
@@ -28,7 +28,7 @@
         self.asked_count += 1
         if self.content is None:
             raise errors.NoReplyError(ip)
-        return grant.ConfigurationReply(content=self.content)
+        return turn_messages.ConfigurationReply(content=self.content)
 
     async def offer_configuration(self, ip, message, timeout_s):
         self.offered.append(message.content)
@@ -83,9 +83,9 @@
             exchange = configuration_exchange.ConfigurationExchange(
                 None, table, decode, virtual_time.LoopClock()
             )
-            ask = grant.ConfigurationRequest
+            ask = turn_messages.ConfigurationRequest
             assert (await exchange.answer(ask(above_version=0))).content == b''
-            offer = grant.ConfigurationOffer(content=b'4')
+            offer = turn_messages.ConfigurationOffer(content=b'4')
             await exchange.accept(offer)
             assert table.version == 4
             reply = await exchange.answer(ask(above_version=3))
--- a/tests/test_engine_keeper.py
+++ b/tests/test_engine_controller.py
@@ -1,4 +1,4 @@
-"""The keeper of one engine: turns, adapters, restarts, in virtual time."""
+"""Controller of one engine: turns, adapters, restarts, in virtual time."""
 
 import asyncio
 import random
@@ -6,12 +6,12 @@
 from benchmarks import virtual_time
 from lacewingpitch import adapter_versions
 from lacewingpitch import crash_record
-from lacewingpitch import engine_keeper
+from lacewingpitch import engine_controller
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import metrics
 from lacewingpitch import routing
 from lacewingpitch import suspect_exchange
+from lacewingpitch import turn_messages
 from tests import fake_engine
 
 SERVICE = 'chat'
@@ -21,7 +21,7 @@
 
 
 class Scene:
-    """A keeper that follows a fake engine."""
+    """An engine controller that polls a fake engine."""
 
     def __init__(
         self, limits=LIMITS, new_engine=fake_engine.FakeEngine, **options
@@ -33,7 +33,7 @@
         self.crashes = crash_record.CrashRecord(self.clock, random.Random(2))
         if limits is not None:
             self.configure(limits)
-        self.keeper = engine_keeper.EngineKeeper(
+        self.controller = engine_controller.EngineController(
             self.engine,
             self.table,
             self.versions,
@@ -47,13 +47,13 @@
         self.table.apply(routing.Configuration(7, (), {SERVICE: limits}, None))
 
     async def __aenter__(self):
-        self._running = asyncio.create_task(self.keeper.run())
+        self._running = asyncio.create_task(self.controller.run())
         await asyncio.sleep(0.5)
         return self
 
     async def __aexit__(self, *exception):
         self._running.cancel()
-        await self.keeper.close()
+        await self.controller.close()
 
     async def ask(self, name, adapter='a', **fields):
         request = {
@@ -72,8 +72,8 @@
             'target_ms': 800,
             'deadline_ms': 12_000,
         }
-        return await self.keeper.ask(
-            grant.TurnRequest(**{**request, **fields})
+        return await self.controller.request_turn(
+            turn_messages.TurnRequest(**{**request, **fields})
         )
 
     async def settle(self, name):
@@ -93,7 +93,9 @@
         return waiting
 
     async def end(self, name):
-        await self.keeper.end(grant.TurnEnds(turn_ids=(f'{name}.1',)))
+        await self.controller.end_turns(
+            turn_messages.TurnEnds(turn_ids=(f'{name}.1',))
+        )
 
 
 def play(story, **options):
@@ -134,7 +136,7 @@
                 scene.ask('one'), scene.ask('one')
             )
             assert first.refusal is None and second.refusal is None
-            assert len(scene.keeper.desk) == 1
+            assert len(scene.controller.granter) == 1
 
         play(story)
 
@@ -223,9 +225,9 @@
 
         async def story(scene):
             await scene.ask('lost')
-            assert len(scene.keeper.desk) == 1
+            assert len(scene.controller.granter) == 1
             await asyncio.sleep(2.0)
-            assert len(scene.keeper.desk) == 0
+            assert len(scene.controller.granter) == 0
 
         play(story)
 
@@ -234,10 +236,10 @@
             await scene.ask('long')
             scene.engine.runs.add('long')
             await asyncio.sleep(4.0)
-            assert len(scene.keeper.desk) == 1
+            assert len(scene.controller.granter) == 1
             scene.engine.runs.clear()
             await asyncio.sleep(2.0)
-            assert len(scene.keeper.desk) == 0
+            assert len(scene.controller.granter) == 0
 
         play(story)
 
@@ -247,7 +249,7 @@
             await asyncio.sleep(0.05)
             await scene.end('one')
             assert (await asked).refusal is errors.ErrorKind.CALLER_GONE
-            assert len(scene.keeper.desk) == 0
+            assert len(scene.controller.granter) == 0
             assert (await scene.ask('two')).refusal is None
 
         play(story)
@@ -285,7 +287,7 @@
         async def story(scene):
             scene.configure(LIMITS)
             await asyncio.sleep(0.06)
-            assert scene.keeper.desk is not None
+            assert scene.controller.granter is not None
 
         play(story, limits=None)
 
@@ -438,7 +440,7 @@
             scene.engine.is_leaving = True
             reply = await asyncio.wait_for(waiting, 0.5)
             assert reply.refusal is errors.ErrorKind.DRAINING
-            assert len(scene.keeper.desk) == 3
+            assert len(scene.controller.granter) == 3
 
         play(story)
 
@@ -544,7 +546,7 @@
             scene.engine.models.add(fake_engine.MODEL)
             scene.engine.order_count = 9
             await asyncio.sleep(0.5)
-            assert len(scene.keeper.desk) == 0
+            assert len(scene.controller.granter) == 0
             loads = len(scene.engine.loads)
             reply = await scene.ask('three')
             assert reply.refusal is None
@@ -577,7 +579,7 @@
             await asyncio.sleep(0.5)
             scene.engine.started_at_ms = 1000
             await asyncio.sleep(0.1)
-            assert scene.keeper.view.started_at_ms == 2000
+            assert scene.controller.view.started_at_ms == 2000
 
         play(story)
 
@@ -643,13 +645,13 @@
         """Guards against a crash that shows only with the next report."""
 
         async def story(scene):
-            ends = grant.TurnEnds(turn_ids=(), asks_state=True)
-            reply = await scene.keeper.end(ends)
+            ends = turn_messages.TurnEnds(turn_ids=(), asks_state=True)
+            reply = await scene.controller.end_turns(ends)
             assert reply.is_known
             assert reply.is_running
             assert reply.backend_server == 'i-1'
             scene.engine.is_up = False
-            reply = await scene.keeper.end(ends)
+            reply = await scene.controller.end_turns(ends)
             assert reply.is_known
             assert not reply.is_running
 
@@ -657,7 +659,9 @@
 
     def test_looks_at_the_engine_only_where_asked(self):
         async def story(scene):
-            reply = await scene.keeper.end(grant.TurnEnds(turn_ids=()))
+            reply = await scene.controller.end_turns(
+                turn_messages.TurnEnds(turn_ids=())
+            )
             assert not reply.is_known
 
         play(story)
--- a/tests/test_fair_order.py
+++ b/tests/test_fair_queue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lacewingpitch import contract
-from lacewingpitch import fair_order
+from lacewingpitch import fair_queue
 from lacewingpitch import turn_queue
 from tests import clocks
 from tests import samples
@@ -28,7 +28,7 @@
 
 
 def make_order(held=lambda _order: True, clock=None):
-    return fair_order.FairOrder(
+    return fair_queue.FairQueue(
         1, held, clock or clocks.ManualClock(), LEADS_S, HELD_LEAD_S
     )
 
@@ -54,7 +54,7 @@
 
 def serve(order, used_s=None):
     """Give the next place, and end its turn at once."""
-    waiter = order.take()
+    waiter = order.pop()
     order.finish(waiter, waiter.cost_s if used_s is None else used_s)
     return waiter
 
@@ -140,7 +140,7 @@
             order.add(make_waiter('long'))
             order.add(make_waiter('honest'))
         for _ in range(100):
-            waiter = order.take()
+            waiter = order.pop()
             customer = waiter.order.customer
             took_s = 10.0 if customer == 'long' else 1.0
             order.finish(waiter, took_s)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -8,15 +8,15 @@
 from lacewingpitch import crash_record
 from lacewingpitch import ejection
 from lacewingpitch import errors
-from lacewingpitch import expected_wait
-from lacewingpitch import grant
 from lacewingpitch import isolation
-from lacewingpitch import plain_turns
-from lacewingpitch import service_choice
+from lacewingpitch import plain_server_selector
+from lacewingpitch import service_balancer
 from lacewingpitch import turn_lease
+from lacewingpitch import turn_messages
+from lacewingpitch import wait_estimator
 from tests import clocks
 
-WAIT = expected_wait.Wait()
+WAIT = wait_estimator.WaitEstimate()
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
 
 
 def request(fingerprint='f', is_isolated=True):
-    return grant.TurnRequest(
+    return turn_messages.TurnRequest(
         entry='edge-1',
         turn_id='t',
         run_id='r',
@@ -117,8 +117,8 @@
             for number, name in enumerate('abc')
         )
         source = random.Random(2)
-        return plain_turns.PlainTurns(
-            service_choice.ServiceChoice(
+        return plain_server_selector.PlainServerSelector(
+            service_balancer.ServiceBalancer(
                 servers, ejection.Ejector(clock, source), 'z', source
             ),
             record,
@@ -127,7 +127,7 @@
     def chosen(self, turns, count=20, **fields):
         found = set()
         for _ in range(count):
-            with turns.turn('f', ('lookup',), ()) as server:
+            with turns.select('f', ('lookup',), ()) as server:
                 found.add(server.name)
         return found
 
@@ -142,12 +142,12 @@
         """Guards against a suspect cut by the crash of another."""
         crash(record, 2)
         crash(record, 2, 'g')
-        with turns.turn('f', ('lookup',), ()):
+        with turns.select('f', ('lookup',), ()):
             with pytest.raises(errors.RefusalError) as raised:
-                with turns.turn('g', ('lookup',), ()):
+                with turns.select('g', ('lookup',), ()):
                     pass
         assert raised.value.kind is errors.ErrorKind.QUEUE_FULL
-        with turns.turn('g', ('lookup',), ()):
+        with turns.select('g', ('lookup',), ()):
             pass
 
     def test_what_crashed_three_servers_is_refused(self, turns, record):
@@ -159,6 +159,6 @@
 
     def test_without_any_server_it_says_so(self, turns):
         with pytest.raises(errors.RefusalError) as raised:
-            with turns.turn('f', ('other',), ()):
+            with turns.select('f', ('other',), ()):
                 pass
         assert raised.value.kind is errors.ErrorKind.NO_BACKEND_SERVER
--- a/tests/test_order_interleavings.py
+++ b/tests/test_order_interleavings.py
@@ -8,7 +8,7 @@
 from lacewingpitch import errors
 from lacewingpitch import routing
 from tests import fake_engine
-from tests import test_engine_keeper
+from tests import test_engine_controller
 
 SLOT_COUNT = 3
 STEP_COUNT = 40
@@ -121,7 +121,7 @@
         crash_counts.append(scene.engine.crash_count)
 
     limits = routing.EngineLimits(16, SLOT_COUNT, (fake_engine.MODEL,))
-    test_engine_keeper.play(
+    test_engine_controller.play(
         story,
         limits=limits,
         new_engine=lambda **options: LossyEngine(source, **options),
--- a/tests/test_organisation_fairness.py
+++ b/tests/test_organisation_fairness.py
@@ -5,13 +5,13 @@
 
 from benchmarks import virtual_time
 from lacewingpitch import crash_record
-from lacewingpitch import fair_order
-from lacewingpitch import grant
-from lacewingpitch import grant_desk
-from lacewingpitch import grant_record
+from lacewingpitch import fair_queue
 from lacewingpitch import metrics
 from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
+from lacewingpitch import turn_granter
+from lacewingpitch import turn_messages
+from lacewingpitch import turn_metrics
 from lacewingpitch import turn_queue
 
 TURNS = 32
@@ -54,12 +54,12 @@
             TURNS,
             8,
             512,
-            fair_order.FairOrder(TURNS, lambda _order: True, clock),
+            fair_queue.FairQueue(TURNS, lambda _order: True, clock),
             clock,
             lambda _order: 0.0,
         )
         self.clock = clock
-        self.desk = grant_desk.GrantDesk(
+        self.granter = turn_granter.TurnGranter(
             queue,
             Adapters(),
             Engine(),
@@ -67,7 +67,7 @@
             clock,
             lambda: 1,
             random.Random(1),
-            grant_record.GrantRecord(queue, metrics.Metrics('s', 'zone-a')),
+            turn_metrics.TurnMetrics(queue, metrics.Metrics('s', 'zone-a')),
             crash_record.CrashRecord(clock, random.Random(2)),
         )
         self.asked = dict.fromkeys(OTHERS, 0)
@@ -76,7 +76,7 @@
 
     def request(self, organisation, left_s):
         number = next(self.numbers)
-        return grant.TurnRequest(
+        return turn_messages.TurnRequest(
             entry='edge-1',
             turn_id=f'r{number}.1',
             run_id=f'r{number}',
@@ -100,7 +100,7 @@
         for _ in range(2):
             left_s = TARGET_S - (self.clock.monotonic_s() - began_s)
             request = self.request(organisation, left_s)
-            reply = await self.desk.ask(request)
+            reply = await self.granter.request_turn(request)
             if reply.refusal is None:
                 break
             await asyncio.sleep(reply.retry_after_ms / 1000)
@@ -109,7 +109,7 @@
         waited_s = self.clock.monotonic_s() - began_s
         self.on_time[organisation] += waited_s <= TARGET_S
         await asyncio.sleep(RUN_S)
-        await self.desk.end([request.turn_id])
+        await self.granter.end_turns([request.turn_id])
 
     async def load(self, organisation, per_s, seed):
         source = random.Random(seed)
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -20,7 +20,7 @@
 from lacewingpitch import organisation
 from lacewingpitch.platform import front as front_module
 from lacewingpitch import routing
-from lacewingpitch import start_wait
+from lacewingpitch import startup_grace
 from tests import usage_fakes
 
 IP = '127.0.0.1'
@@ -53,7 +53,7 @@
             self.table,
             self._serve,
             metrics.Metrics('edge-1', 'zone-a').seconds('s', 'Times.'),
-            start_wait.StartWait(time_source),
+            startup_grace.StartupGrace(time_source),
             time_source,
             access.Access(self.table, self.age, 5.0, random.Random(1)),
             usage_fakes.limits(self.link, time_source),
--- a/tests/test_service_choice.py
+++ b/tests/test_service_balancer.py
@@ -7,7 +7,7 @@
 
 from lacewingpitch import backend_list
 from lacewingpitch import ejection
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from tests import clocks
 
 
@@ -31,7 +31,7 @@
         for i, zone in enumerate('pq')
         for number in (1, 2)
     )
-    return service_choice.ServiceChoice(
+    return service_balancer.ServiceBalancer(
         servers, ejector, 'p', random.Random(2)
     )
 
@@ -45,7 +45,7 @@
         own = [choice.choose('s', ['p2']), choice.choose('s', ['p1'])]
         with contextlib.ExitStack() as exits:
             for server in own * 10:
-                exits.enter_context(choice.sent(server))
+                exits.enter_context(choice.track_request(server))
             assert choice.choose('s', ()).availability_zone == 'q'
         assert choice.choose('s', ()).availability_zone == 'p'
 
--- a/tests/test_start_wait.py
+++ b/tests/test_startup_grace.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewingpitch import start_wait
+from lacewingpitch import startup_grace
 from tests import clocks
 
 
@@ -13,10 +13,10 @@
 
 @pytest.fixture
 def wait(clock):
-    return start_wait.StartWait(clock)
+    return startup_grace.StartupGrace(clock)
 
 
-class TestStartWait:
+class TestStartupGrace:
     def test_is_as_long_as_a_start_takes(self, wait, clock):
         """Callers are refused although their process serves soon after.
 
--- a/tests/test_turn_source.py
+++ b/tests/test_turn_client.py
@@ -10,13 +10,13 @@
 from lacewingpitch import backend_list
 from lacewingpitch import ejection
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import hint
 from lacewingpitch import placement
 from lacewingpitch import settings
 from lacewingpitch import suspects
-from lacewingpitch import turn_source
-from lacewingpitch import wanted_turn
+from lacewingpitch import turn_client
+from lacewingpitch import turn_messages
+from lacewingpitch import turn_spec
 
 DRAINING = errors.ErrorKind.DRAINING
 STARTING = errors.ErrorKind.BACKEND_STARTING
@@ -31,12 +31,12 @@
         self.asked = []
         self.ended = []
         self.ends = []
-        self.state = grant.TurnEndsReply()
+        self.state = turn_messages.TurnEndsReply()
         self.delay_s = 0.0
 
-    async def ask_turn(self, ip, request, timeout_s):
+    async def request_turn(self, ip, request, timeout_s):
         self.asked.append((ip, request))
-        reply = self.replies.get(ip, grant.TurnReply())
+        reply = self.replies.get(ip, turn_messages.TurnReply())
         await asyncio.sleep(self.delay_s)
         if isinstance(reply, list):
             reply = reply.pop(0)
@@ -75,7 +75,7 @@
         self.placement = placement.Placement(
             self.clock, settings.ObjectiveSettings(stall_weight=1)
         )
-        self.source = turn_source.TurnSource(
+        self.source = turn_client.TurnClient(
             'edge-1',
             self.sidecars,
             self.servers,
@@ -105,11 +105,11 @@
             'target_at_s': now_s + 0.8,
             'until_s': now_s + 12.0,
         }
-        return wanted_turn.WantedTurn(**{**values, **fields})
+        return turn_spec.TurnSpec(**{**values, **fields})
 
     async def take(self, name='one', excluded=(), **fields):
         wanted = self.wanted(name, **fields)
-        async with self.source.turn(wanted, excluded) as turn:
+        async with self.source.acquire(wanted, excluded) as turn:
             return turn
 
 
@@ -146,8 +146,8 @@
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = [
-                    grant.TurnReply(is_pending=True),
-                    grant.TurnReply(version=2),
+                    turn_messages.TurnReply(is_pending=True),
+                    turn_messages.TurnReply(version=2),
                 ]
             assert (await scene.take()).version == 2
 
@@ -164,8 +164,8 @@
 
         async def story(scene):
             for number in (1, 2, 3):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    backend_server='new'
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(backend_server='new')
                 )
             assert (await scene.take()).server.name == 'new'
 
@@ -176,8 +176,8 @@
     def test_another_engine_is_asked(self):
         async def story(scene):
             for number in (1, 2):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    refusal=DRAINING
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(refusal=DRAINING)
                 )
             turn = await scene.take()
             assert turn.server.name == 'c'
@@ -187,8 +187,10 @@
     def test_of_all_is_the_soonest(self):
         async def story(scene):
             for number in (1, 2, 3):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    refusal=DRAINING, retry_after_ms=number * 100
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(
+                        refusal=DRAINING, retry_after_ms=number * 100
+                    )
                 )
             with pytest.raises(errors.RefusalError) as found:
                 await scene.take()
@@ -212,12 +214,14 @@
         """Callers are refused although an engine serves a second later."""
 
         async def story(scene):
-            starting = grant.TurnReply(refusal=STARTING, retry_after_ms=1500)
+            starting = turn_messages.TurnReply(
+                refusal=STARTING, retry_after_ms=1500
+            )
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = [
                     starting,
-                    grant.TurnReply(is_pending=True),
-                    grant.TurnReply(version=2),
+                    turn_messages.TurnReply(is_pending=True),
+                    turn_messages.TurnReply(version=2),
                 ]
             assert (await scene.take()).version == 2
 
@@ -231,8 +235,10 @@
         async def story(scene):
             for number in (1, 2, 3):
                 refusal = STARTING if number < 3 else DRAINING
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    refusal=refusal, retry_after_ms=300
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(
+                        refusal=refusal, retry_after_ms=300
+                    )
                 )
             with pytest.raises(errors.RefusalError):
                 await scene.take()
@@ -245,8 +251,12 @@
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = [
-                    grant.TurnReply(refusal=STARTING, retry_after_ms=100),
-                    grant.TurnReply(refusal=DRAINING, retry_after_ms=900),
+                    turn_messages.TurnReply(
+                        refusal=STARTING, retry_after_ms=100
+                    ),
+                    turn_messages.TurnReply(
+                        refusal=DRAINING, retry_after_ms=900
+                    ),
                 ]
             with pytest.raises(errors.RefusalError) as found:
                 await scene.take()
@@ -259,7 +269,9 @@
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = [
-                    grant.TurnReply(refusal=STARTING, retry_after_ms=100),
+                    turn_messages.TurnReply(
+                        refusal=STARTING, retry_after_ms=100
+                    ),
                     None,
                 ]
             with pytest.raises(errors.RefusalError) as found:
@@ -329,13 +341,13 @@
         found = []
 
         class Sidecars(FakeSidecars):
-            async def ask_turn(self, ip, request, timeout_s):
+            async def request_turn(self, ip, request, timeout_s):
                 self.asked.append((ip, request.accept_within_ms))
                 wait_ms = waits_ms[int(ip.rpartition('.')[2]) - 1]
                 limit_ms = request.accept_within_ms or 600
                 if wait_ms <= limit_ms:
-                    return grant.TurnReply()
-                return grant.TurnReply(
+                    return turn_messages.TurnReply()
+                return turn_messages.TurnReply(
                     refusal=errors.ErrorKind.DEADLINE_UNREACHABLE,
                     retry_after_ms=wait_ms,
                     wait_ms=wait_ms,
@@ -422,8 +434,8 @@
 
         async def story(scene):
             for number in (1, 2, 3):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    hint=told, started_at_ms=1000
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(hint=told, started_at_ms=1000)
                 )
             for server in scene.servers.all():
                 scene.servers.put(
@@ -439,8 +451,8 @@
             restarted = []
             scene.servers.restarts.subscribe(restarted.append)
             for number in (1, 2, 3):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    started_at_ms=1000
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(started_at_ms=1000)
                 )
             await scene.take()
             assert len(restarted) == 1
@@ -474,8 +486,10 @@
         async def story(scene):
             self.crash(scene, 2)
             for number in (1, 2, 3):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    refusal=errors.ErrorKind.QUEUE_FULL, retry_after_ms=900
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(
+                        refusal=errors.ErrorKind.QUEUE_FULL, retry_after_ms=900
+                    )
                 )
             with pytest.raises(errors.RefusalError) as raised:
                 await scene.take(fingerprint='f')
@@ -499,8 +513,8 @@
 
         async def story(scene):
             for number in (1, 2, 3):
-                scene.sidecars.replies[f'10.0.0.{number}'] = grant.TurnReply(
-                    refusal=CRASHES
+                scene.sidecars.replies[f'10.0.0.{number}'] = (
+                    turn_messages.TurnReply(refusal=CRASHES)
                 )
             with pytest.raises(errors.RefusalError) as raised:
                 await scene.take(fingerprint='f')
@@ -532,16 +546,16 @@
     @pytest.mark.parametrize(
         ('state', 'crash_count'),
         [
-            (grant.TurnEndsReply(), 0),
-            (grant.TurnEndsReply(is_known=True), 1),
+            (turn_messages.TurnEndsReply(), 0),
+            (turn_messages.TurnEndsReply(is_known=True), 1),
             (
-                grant.TurnEndsReply(
+                turn_messages.TurnEndsReply(
                     is_known=True, is_running=True, backend_server='a'
                 ),
                 0,
             ),
             (
-                grant.TurnEndsReply(
+                turn_messages.TurnEndsReply(
                     is_known=True, is_running=True, backend_server='a2'
                 ),
                 1,
@@ -555,7 +569,7 @@
             server = scene.servers.get('a')
             wanted = scene.wanted(fingerprint='f', adapter='')
             excluded = ('b', 'c')
-            async with scene.source.turn(wanted, excluded):
+            async with scene.source.acquire(wanted, excluded):
                 scene.suspects.watch.note_cut('f', server)
 
         scene = play(story)
--- a/tests/test_turn_queue.py
+++ b/tests/test_turn_queue.py
@@ -8,7 +8,7 @@
 from benchmarks import virtual_time
 from lacewingpitch import contract
 from lacewingpitch import errors
-from lacewingpitch import fair_order
+from lacewingpitch import fair_queue
 from lacewingpitch import settings
 from lacewingpitch import turn_queue
 from tests import fault_matrix
@@ -26,7 +26,7 @@
     turn_count=1, *, lookahead_count=0, max_queued=100, prepare_s=None
 ):
     clock = virtual_time.LoopClock()
-    order = fair_order.FairOrder(turn_count, lambda _order: True, clock)
+    order = fair_queue.FairQueue(turn_count, lambda _order: True, clock)
     return turn_queue.TurnQueue(
         turn_count,
         lookahead_count,
@@ -57,7 +57,7 @@
 
     async def _serve(self, name, work_s, prepare_s, order):
         try:
-            async with self.queue.place(order) as place:
+            async with self.queue.reserve(order) as place:
                 if prepare_s:
                     await asyncio.sleep(prepare_s)
                 async with place.turn():
@@ -170,7 +170,7 @@
             ended = asyncio.get_running_loop().create_future()
 
             async def hold():
-                async with queue.place(make_order()) as place:
+                async with queue.reserve(make_order()) as place:
                     async with place.turn():
                         await ended
                 unlucky.cancel()
@@ -201,7 +201,7 @@
         queue = make_queue(1)
         story = Story(queue)
         async with contextlib.AsyncExitStack() as held:
-            place = await held.enter_async_context(queue.place(make_order()))
+            place = await held.enter_async_context(queue.reserve(make_order()))
             await held.enter_async_context(place.turn())
             gone = story.send('gone')
             last = story.send('last')
--- a/tests/test_expected_wait.py
+++ b/tests/test_wait_estimator.py
@@ -7,13 +7,13 @@
 import pytest
 
 from benchmarks import virtual_time
-from lacewingpitch import expected_wait
 from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
 from lacewingpitch import routing
+from lacewingpitch import wait_estimator
 from tests import fake_engine
 from tests import test_admission
-from tests import test_engine_keeper
+from tests import test_engine_controller
 
 REQUEST = test_admission.REQUEST
 MANY_TOKENS = 20_000
@@ -42,7 +42,7 @@
 def wait_of(places, tokens_ahead=0, batch=None, **fields):
     async def main():
         pacer = prefill_pacer.PrefillPacer(virtual_time.LoopClock())
-        expects = expected_wait.ExpectedWait(places, batch or Batch(), pacer)
+        expects = wait_estimator.WaitEstimator(places, batch or Batch(), pacer)
         with pacer.expecting(tokens_ahead):
             request = msgspec.structs.replace(REQUEST, **fields)
             return expects.of(request, 'm/a' if request.adapter else '')
@@ -58,7 +58,7 @@
         found = wait_of(Places(0.4, 0.25))
         assert found.load_s == pytest.approx(0.25)
         # A mean, counted so that most of those let in are on time.
-        assert found.place_s == pytest.approx(0.6)
+        assert found.slot_s == pytest.approx(0.6)
 
     def test_the_base_model_waits_for_no_place(self):
         assert wait_of(Places(0.4, 0.25), adapter='').adapter_s == 0.0
@@ -108,7 +108,7 @@
 
             await asyncio.gather(*map(one, range(self.REQUEST_COUNT)))
 
-        test_engine_keeper.play(story, limits=limits, slot_count=6)
+        test_engine_controller.play(story, limits=limits, slot_count=6)
         return found
 
     @pytest.mark.parametrize('seed', [5, 6, 7])
