--- a/lacewingpitch/engine_controller.py
+++ b/lacewingpitch/engine_controller.py
@@ -112,7 +112,9 @@
             request.suspects.states if request.suspects else ()
         )
         reply = await self._request_turn(request)
-        news = suspect_exchange.news_for_asker(self._crashes, request.suspects)
+        news = suspect_exchange.update_for_requester(
+            self._crashes, request.suspects
+        )
         if news is None:
             return reply
         return msgspec.structs.replace(reply, suspects=news)
@@ -151,7 +153,7 @@
 
     async def run(self) -> None:
         """Follow the engine, for ever."""
-        await self._table.until_known()
+        await self._table.wait_until_loaded()
         while True:
             async with self._looking:
                 await self._look()
@@ -228,7 +230,7 @@
             # Before the loads in flight hear that the engine is gone: they
             # would count as failures of their adapters, which nobody then
             # gets for a second.
-            self._adapters.drop_all()
+            self._adapters.clear()
         self.view.attach(incarnation, snapshot.started_at_ms)
         self._adopted_runs = frozenset()
         if self.granter is not None:
@@ -286,7 +288,7 @@
             # count as free; an engine over its capacity crashes.
             return
         models = snapshot.models or limits.models[:1]
-        slot_count = limits.adapters_beside(models)
+        slot_count = limits.adapter_capacity(models)
         self.view.slot_count = slot_count
         self._adapters = slots_module.AdapterSlots(
             self.view,
@@ -294,10 +296,10 @@
             self._fence,
             self._clock,
             stall_weight=1.0,
-            max_loading=_MAX_LOADING,
-            max_under_way=_MAX_LOADING,
-            report_lag_s=_OWN_REPORT_LAG_S,
-            first_load_s=_FIRST_LOAD_S,
+            max_pending_permits=_MAX_LOADING,
+            max_concurrent_loads=_MAX_LOADING,
+            max_report_lag_s=_OWN_REPORT_LAG_S,
+            initial_load_s=_FIRST_LOAD_S,
         )
         adapters = self._adapters
         queue = turn_queue.TurnQueue(
@@ -385,11 +387,11 @@
         }
         for name in adapters.adapters:
             if name not in held and self.view.is_shown(name):
-                adapters.forget(name)
+                adapters.remove(name)
         unknown = [
             name
             for name in held
-            if not adapters.knows(name) and self.view.is_shown(name)
+            if not adapters.has_slot(name) and self.view.is_shown(name)
         ]
         if unknown:
             self._adopted_runs |= snapshot.run_ids
@@ -401,7 +403,7 @@
     def _name_of(self, key: str, version: int) -> str:
         """Return the slot name of an adapter that the engine holds."""
         model, _, adapter = key.partition('/')
-        wanted = self._versions.wanted(model, adapter)
+        wanted = self._versions.required_version(model, adapter)
         if version < wanted:
             wanted = 0
         return adapter_versions.slot_name(model, adapter, wanted)
--- a/lacewingpitch/sidecar_link.py
+++ b/lacewingpitch/sidecar_link.py
@@ -191,14 +191,14 @@
         """
         order = attempt.order
         name = attempt.sidecar.name
-        if self._ejector.is_silent(name):
+        if self._ejector.is_unresponsive(name):
             await self._check_answers(attempt)
         try:
             async with asyncio.timeout(order.deadline_s + _ANSWER_GRACE_S):
                 return await self._post_and_ask(attempt)
         except _NOT_SENT as error:
-            self._ejector.failed(name)
-            self._membership.suspect(name)
+            self._ejector.record_failure(name)
+            self._membership.mark_suspect(name)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING, f'not reached: {name}'
             ) from error
@@ -297,12 +297,12 @@
                 total=None, sock_connect=_CONNECT_TIMEOUT_S
             ),
         )
-        self._placement.learn(
+        self._placement.apply_hint_header(
             sidecar.name, response.headers.get(work.HINT_HEADER, '')
         )
         leaving = response.headers.get(work.LEAVING_HEADER, '')
         if leaving:
-            self._membership.note_leaving(
+            self._membership.mark_leaving(
                 sidecar.name, int(leaving) if leaving.isdecimal() else 0
             )
         if work.KIND_HEADER in response.headers:
@@ -326,7 +326,7 @@
         kind = body.error.kind
         is_noted = work.LEAVING_HEADER in response.headers
         if kind is errors.ErrorKind.DRAINING and not is_noted:
-            self._membership.note_leaving(attempt.sidecar.name)
+            self._membership.mark_leaving(attempt.sidecar.name)
         if kind is errors.ErrorKind.CONTRACT_OUTDATED and self._on_outdated:
             await self._on_outdated(attempt.order.customer, attempt.sidecar)
         raise work.error_of(body.error)
@@ -392,7 +392,7 @@
         # may run twice goes elsewhere; any other waits on, as it may run
         # when the sidecar wakes up.
         name = attempt.sidecar.name
-        self._ejector.silent(name)
+        self._ejector.record_unresponsive(name)
         if attempt.may_leave():
             self.cancel(attempt)
             raise _unknown(f'{name} is silent')
@@ -401,7 +401,7 @@
         # A link that is half open takes the request and passes nothing
         # on.  The sidecar's promise holds also if it arrives after all.
         name = attempt.sidecar.name
-        self._ejector.failed(name)
+        self._ejector.record_failure(name)
         return errors.RefusalError(
             errors.ErrorKind.ATTEMPT_WITHDRAWN, f'has not arrived at {name}'
         )
@@ -414,7 +414,7 @@
         try:
             await self._ask_cancel(attempt)
         except errors.NoReplyError as error:
-            self._ejector.silent(name)
+            self._ejector.record_unresponsive(name)
             raise errors.RefusalError(
                 errors.ErrorKind.ATTEMPT_WITHDRAWN, f'{name} is silent'
             ) from error
@@ -436,12 +436,12 @@
         try:
             state = await self.ask_state(attempt)
         except errors.LinkError as error:
-            self._membership.suspect(name)
+            self._membership.mark_suspect(name)
             raise _unknown(
                 'the backend server does not say whether it ran'
             ) from error
         if state is ledger.RunState.VOID:
-            self._ejector.failed(name)
+            self._ejector.record_failure(name)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING, f'gave up on {name}'
             ) from cause
--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -5,7 +5,7 @@
 from lacewingpitch import backend_list
 from lacewingpitch import ejection
 from lacewingpitch import isolation
-from lacewingpitch import placed_instances
+from lacewingpitch import listed_instances
 from lacewingpitch import placement as placement_module
 from lacewingpitch import turn_spec
 
@@ -26,14 +26,14 @@
         self._servers = servers
         self._placement = placement
         self._ejector = ejector
-        self._instances = placed_instances.PlacedInstances(servers, placement)
+        self._instances = listed_instances.ListedInstances(servers, placement)
 
     def to_ask(
         self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
         """Return the engines whose sidecars are asked, in their order."""
         instances = self._instances.of(wanted.service)
-        ranked = self._placement.candidates(
+        ranked = self._placement.ranked_instances(
             wanted.key or wanted.run_id, instances
         )
         names = [i.name for i in ranked if i.name not in excluded]
@@ -42,7 +42,7 @@
         allowed_to_ask = set(self._ejector.allowed(asked))
         chosen = []
         for name in names:
-            server = self._servers.find(wanted.service, name)
+            server = self._servers.find_serving(wanted.service, name)
             if server is None or name not in allowed:
                 continue
             if sidecar_key(name) in allowed_to_ask:
@@ -60,7 +60,7 @@
         ]
         asked = [sidecar_key(server.name) for server in servers]
         allowed = set(self._ejector.allowed(asked))
-        return isolation.choose(
+        return isolation.select_server(
             server for server in servers if sidecar_key(server.name) in allowed
         )
 
--- a/lacewingpitch/turn_client.py
+++ b/lacewingpitch/turn_client.py
@@ -122,7 +122,9 @@
             servers, placement, ejector
         )
         self._suspects = suspects
-        self._ended = turn_end_reporter.TurnEndReporter(link, suspects.watch)
+        self._ended = turn_end_reporter.TurnEndReporter(
+            link, suspects.detector
+        )
 
     @contextlib.asynccontextmanager
     async def acquire(
@@ -142,7 +144,7 @@
         """
         turn, is_granted = await self._acquire(wanted, excluded)
         try:
-            with self._placement.sent(wanted.key, turn.server.name):
+            with self._placement.track_request(wanted.key, turn.server.name):
                 yield turn
         finally:
             if is_granted:
@@ -157,7 +159,9 @@
     ) -> tuple[turn_spec.Turn, bool]:
         handling = self._suspects.record.handling(wanted.fingerprint)
         if handling is crash_record.Handling.REFUSED:
-            raise isolation.refused(self._suspects.record, wanted.fingerprint)
+            raise isolation.barred_refusal(
+                self._suspects.record, wanted.fingerprint
+            )
         if handling is crash_record.Handling.ISOLATED:
             return await self._acquire_isolated(wanted, excluded), True
         replies = _Replies()
@@ -280,7 +284,9 @@
         wanted: turn_spec.TurnSpec,
         error: errors.NoReplyError,
     ) -> None:
-        self._ejector.silent(turn_candidates.sidecar_key(server.name))
+        self._ejector.record_unresponsive(
+            turn_candidates.sidecar_key(server.name)
+        )
         log.warning(
             'sidecar not responding',
             request_id=wanted.run_id,
@@ -298,7 +304,7 @@
         is_isolated: bool = False,
     ) -> turn_spec.Turn:
         key = turn_candidates.sidecar_key(server.name)
-        self._ejector.begin(key)
+        self._ejector.record_start(key)
         try:
             return await self._request_until_settled(
                 server,
@@ -309,7 +315,7 @@
                 is_isolated,
             )
         finally:
-            self._ejector.ended(key)
+            self._ejector.record_end(key)
 
     async def _request_until_settled(
         self,
@@ -346,7 +352,7 @@
                 weight=wanted.weight,
                 fingerprint=wanted.fingerprint,
                 is_isolated=is_isolated,
-                suspects=self._suspects.exchange.news_for(server.ip),
+                suspects=self._suspects.exchange.update_for(server.ip),
             )
             try:
                 reply = await self._link.request_turn(
@@ -357,8 +363,10 @@
                 # left or the reply was lost.  The turn would stay occupied.
                 self._ended.note(server.ip, wanted.turn_id)
                 raise
-            self._ejector.succeeded(turn_candidates.sidecar_key(server.name))
-            self._suspects.exchange.take(
+            self._ejector.record_success(
+                turn_candidates.sidecar_key(server.name)
+            )
+            self._suspects.exchange.apply_reply(
                 server.ip, request.suspects, reply.suspects
             )
             self._apply_reply(server, reply)
@@ -398,8 +406,8 @@
         record = self._suspects.record
         handling = record.handling(wanted.fingerprint)
         if handling is crash_record.Handling.REFUSED:
-            return isolation.refused(record, wanted.fingerprint)
-        return isolation.to_isolate()
+            return isolation.barred_refusal(record, wanted.fingerprint)
+        return isolation.isolation_refusal()
 
     def _granting_server(
         self,
@@ -427,7 +435,7 @@
         # knows.
         if turn.server.name != server.name:
             return
-        if self._servers.find(wanted.service, server.name) is None:
+        if self._servers.find_serving(wanted.service, server.name) is None:
             self._ended.note(server.ip, wanted.turn_id)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING,
@@ -439,9 +447,11 @@
         server: backend_list.BackendServer,
         reply: turn_messages.TurnReply,
     ) -> None:
-        is_current = self._servers.note_start(server.name, reply.started_at_ms)
+        is_current = self._servers.record_start(
+            server.name, reply.started_at_ms
+        )
         if reply.hint is not None and is_current:
-            self._placement.learn_hint(server.name, reply.hint)
+            self._placement.apply_hint(server.name, reply.hint)
         self._on_configuration_version(server.ip, reply.configuration_version)
         self._on_entry_count(reply.entry_count)
 
--- a/tests/test_engine_controller.py
+++ b/tests/test_engine_controller.py
@@ -459,7 +459,7 @@
         async def story(scene):
             await scene.ask('one')
             await scene.end('one')
-            scene.versions.note('m', 'a', 2)
+            scene.versions.record('m', 'a', 2)
             reply = await scene.ask('two')
             assert reply.version == 2
             assert scene.engine.held == {'m/a': 2}
@@ -603,7 +603,7 @@
 
     def crash(self, scene, count):
         for number in range(count):
-            scene.crashes.note_crash('f', f'i-{number}')
+            scene.crashes.record_crash('f', f'i-{number}')
 
     def test_what_crashed_three_gets_no_turn(self):
         """Guards against an entry that has not heard of a deadly request."""
--- a/tests/test_limit_lease.py
+++ b/tests/test_limit_lease.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from lacewingpitch import entry_ring
 from lacewingpitch import limit_lease
+from lacewingpitch import limit_ownership
 from tests import clocks
 from tests import fault_matrix
 from tests import lease_entries
@@ -34,19 +34,19 @@
         self.instances = [
             lease_entries.make_instance(number) for number in range(count)
         ]
-        self.rings = {}
+        self.ownerships = {}
         self.owners = {}
         for instance in self.instances:
-            ring = entry_ring.EntryRing(
+            ownership = limit_ownership.LimitOwnership(
                 self.clock, instance.name, lease_entries.REGION
             )
-            ring.update(1, self.instances)
-            self.rings[instance.name] = ring
-            self.owners[instance.name] = limit_lease.LeaseOwner(
-                self.clock, ring, self.contracts
+            ownership.update(1, self.instances)
+            self.ownerships[instance.name] = ownership
+            self.owners[instance.name] = limit_lease.LimitOwner(
+                self.clock, ownership, self.contracts
             )
         self.sequence = 0
-        first = self.rings[self.instances[0].name]
+        first = self.ownerships[self.instances[0].name]
         found = first.owner(CUSTOMER, lease_entries.REGION)
         self.owner_name = found.name if found else self.instances[0].name
 
@@ -133,12 +133,12 @@
 
     def test_lapse_with_the_lease(self, table):
         table.lease('entry-9', running=PLACES, renews=True)
-        table.age(limit_lease.LEASE_S + 0.5)
+        table.age(limit_lease.LEASE_DURATION_S + 0.5)
         assert table.lease('entry-1', running=PLACES).running == PLACES
 
     def test_share_of_a_silent_holder_stays_free(self, table):
         table.lease('entry-1', running=1, renews=True)
-        table.age(limit_lease.LEASE_S + 0.5)
+        table.age(limit_lease.LEASE_DURATION_S + 0.5)
         assert table.lease('entry-2', running=9).running == PLACES - 2
 
 
@@ -155,10 +155,10 @@
         table.age(60)
         assert table.lease(requests=BURST).requests == BURST
         rest = [i for i in table.instances if i.name != table.owner_name]
-        for name, ring in table.rings.items():
+        for name, ownership in table.ownerships.items():
             if name != table.owner_name:
-                ring.update(2, rest)
-        found = table.rings[rest[0].name].owner(CUSTOMER, 'default')
+                ownership.update(2, rest)
+        found = table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         table.owner_name = found.name if found else rest[0].name
         assert table.lease(requests=BURST).requests <= BURST / len(rest)
 
@@ -175,19 +175,19 @@
         old_name, old = table.owner_name, table.owner
         rest = [i for i in table.instances if i.name != old_name]
         for instance in rest:
-            table.rings[instance.name].update(2, rest)
-        found = table.rings[rest[0].name].owner(CUSTOMER, 'default')
+            table.ownerships[instance.name].update(2, rest)
+        found = table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         new_name = found.name if found else rest[0].name
         new = table.owners[new_name]
         ask = table.ask('entry-2', requests=5, running=PLACES)
-        asked = new.to_adopt(ask.wants)
+        asked = new.pending_handovers(ask.wants)
         assert [previous.name for previous in asked] == [old_name]
         message = limit_lease.HandOver(
-            owner=table.rings[new_name].this_instance(),
+            owner=table.ownerships[new_name].this_instance(),
             revision=2,
             customers=(CUSTOMER,),
         )
-        new.adopt((CUSTOMER,), old.hand_over(message))
+        new.apply_handover((CUSTOMER,), old.hand_over(message))
         part = new.grant(ask).parts[0]
         assert (part.requests, part.running) == (0, PLACES - 4)
         reply = old.grant(table.ask('entry-1', requests=1))
@@ -202,7 +202,7 @@
         hand over.  The cause would be an owner that obeys an older list.
         """
         table.lease(requests=BURST)
-        table.rings[table.owner_name].update(5, table.instances)
+        table.ownerships[table.owner_name].update(5, table.instances)
         message = limit_lease.HandOver(
             owner=lease_entries.make_instance(9),
             revision=4,
@@ -223,17 +223,17 @@
         table.clock.now_s += 30
         assert table.lease(requests=BURST) is None
         want = limit_lease.LeaseWant(CUSTOMER, requests=1)
-        assert not table.owner.to_adopt([want])
-        table.age(limit_lease.CONFIRM_S)
+        assert not table.owner.pending_handovers([want])
+        table.age(limit_lease.PAUSE_RECOVERY_S)
         part = table.lease(requests=BURST)
-        most = BURST / 3 + RATE_PER_S * limit_lease.CONFIRM_S
+        most = BURST / 3 + RATE_PER_S * limit_lease.PAUSE_RECOVERY_S
         assert 0 < part.requests <= most + 1
 
     def test_leases_only_shares_of_places_until_all_have_asked(self):
         table = Table()
         part = table.lease('entry-1', running=PLACES)
         assert part.running == PLACES // 3
-        table.age(limit_lease.LEASE_S)
+        table.age(limit_lease.LEASE_DURATION_S)
         part = table.lease('entry-1', running=PLACES)
         assert part.running == PLACES
 
@@ -320,7 +320,7 @@
     def pause(self, seconds):
         self.table.clock.now_s += seconds
         self._add(RATE_PER_S * seconds)
-        if seconds > limit_lease.PAUSE_S:
+        if seconds > limit_lease.PAUSE_THRESHOLD_S:
             self._start_anew()
 
     def move(self):
@@ -330,10 +330,10 @@
             return
         rest = [i for i in self.table.instances if i.name != name]
         self.table.instances = rest
-        del self.table.rings[name], self.table.owners[name]
-        for ring in self.table.rings.values():
-            ring.update(ring.revision + 1, rest)
-        found = self.table.rings[rest[0].name].owner(CUSTOMER, 'default')
+        del self.table.ownerships[name], self.table.owners[name]
+        for ownership in self.table.ownerships.values():
+            ownership.update(ownership.revision + 1, rest)
+        found = self.table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         self.table.owner_name = found.name if found else rest[0].name
         self._start_anew()
 
@@ -398,7 +398,7 @@
         for holder, running, passed_s in asks:
             table.age(passed_s)
             part = table.lease(holder, running=running)
-            expires_s = table.clock.now_s + limit_lease.QUIET_LEASE_S
+            expires_s = table.clock.now_s + limit_lease.LONG_LEASE_DURATION_S
             held[holder] = (part.running, expires_s)
             in_force = sum(
                 places
--- a/tests/test_organisation_fairness.py
+++ b/tests/test_organisation_fairness.py
@@ -7,8 +7,8 @@
 from lacewingpitch import crash_record
 from lacewingpitch import fair_queue
 from lacewingpitch import metrics
-from lacewingpitch import place_forecast
 from lacewingpitch import prefill_pacer
+from lacewingpitch import slot_simulation
 from lacewingpitch import turn_granter
 from lacewingpitch import turn_messages
 from lacewingpitch import turn_metrics
@@ -28,12 +28,12 @@
     """Every adapter is held, and none takes a place."""
 
     adapters = ()
-    spare_count = 9
-    copy_load_s = 0.0
-    copy_count = 0
+    spare_slot_count = 9
+    cached_copy_load_s = 0.0
+    cached_copy_count = 0
 
     def expected_wait(self, name=''):
-        return place_forecast.AdapterWait()
+        return slot_simulation.AdapterWait()
 
 
 class Engine:
--- a/tests/test_turn_client.py
+++ b/tests/test_turn_client.py
@@ -429,7 +429,7 @@
             max_running=16,
             load_wait_ms=0,
             spare_slots=9,
-            adapters=hint.join_fingerprints(['m/x']),
+            adapters=hint.encode_fingerprints(['m/x']),
         )
 
         async def story(scene):
@@ -465,7 +465,7 @@
 
     def crash(self, scene, count, fingerprint='f'):
         for number in range(count):
-            scene.suspects.record.note_crash(fingerprint, f'x-{number}')
+            scene.suspects.record.record_crash(fingerprint, f'x-{number}')
 
     def test_all_go_to_one_engine_and_no_other(self):
         """Guards against suspects that end engine after engine."""
@@ -570,8 +570,8 @@
             wanted = scene.wanted(fingerprint='f', adapter='')
             excluded = ('b', 'c')
             async with scene.source.acquire(wanted, excluded):
-                scene.suspects.watch.note_cut('f', server)
+                scene.suspects.detector.record_disconnect('f', server)
 
         scene = play(story)
-        assert len(scene.suspects.record.servers('f')) == crash_count
+        assert len(scene.suspects.record.crashed_servers('f')) == crash_count
         assert scene.sidecars.ends[-1].asks_state
