--- a/lacewingpitch/authentication.py
+++ b/lacewingpitch/authentication.py
@@ -102,7 +102,7 @@
         found = keys.holder(key) if key else None
         if found is not None or route.is_public:
             return found
-        if self._table.is_away:
+        if self._table.is_store_unreachable:
             # A newer configuration may contain the key, and its caller
             # would not retry after an "unknown key" refusal.
             raise self._outdated_refusal()
--- a/lacewingpitch/configuration_exchange.py
+++ b/lacewingpitch/configuration_exchange.py
@@ -8,8 +8,8 @@
 
 from lacewingpitch import clock as clock_module
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import routing
+from lacewingpitch import turn_messages
 
 _REQUEST_TIMEOUT_S = 1.0
 # A peer that can read the store gets the newer version from there within a
@@ -23,13 +23,19 @@
     """Sends messages about the configuration to sidecars."""
 
     async def ask_configuration(
-        self, ip: str, message: grant.ConfigurationRequest, timeout_s: float
-    ) -> grant.ConfigurationReply:
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationRequest,
+        timeout_s: float,
+    ) -> turn_messages.ConfigurationReply:
         """Request a newer configuration."""
         ...
 
     async def offer_configuration(
-        self, ip: str, message: grant.ConfigurationOffer, timeout_s: float
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationOffer,
+        timeout_s: float,
     ) -> None:
         """Send a newer configuration."""
         ...
@@ -93,7 +99,7 @@
 
     def record_store_state(self, is_unreachable: bool) -> None:
         """Record whether the last read of the store failed."""
-        self._table.is_away = is_unreachable
+        self._table.is_store_unreachable = is_unreachable
 
     def apply(self, content: bytes, source: str) -> int:
         """Apply a published configuration if newer; return its version.
@@ -117,22 +123,22 @@
         return configuration.version
 
     async def answer(
-        self, message: grant.ConfigurationRequest
-    ) -> grant.ConfigurationReply:
+        self, message: turn_messages.ConfigurationRequest
+    ) -> turn_messages.ConfigurationReply:
         """Return the configuration if it is newer than that of an entry."""
         configuration = self._table.configuration
         if configuration is None:
-            return grant.ConfigurationReply()
+            return turn_messages.ConfigurationReply()
         if configuration.version <= message.above_version:
-            return grant.ConfigurationReply()
-        return grant.ConfigurationReply(content=configuration.content)
+            return turn_messages.ConfigurationReply()
+        return turn_messages.ConfigurationReply(content=configuration.content)
 
     async def accept(
-        self, message: grant.ConfigurationOffer
-    ) -> grant.ConfigurationTaken:
+        self, message: turn_messages.ConfigurationOffer
+    ) -> turn_messages.ConfigurationTaken:
         """Apply the configuration that an entry offers."""
         self.apply(message.content, source='entry')
-        return grant.ConfigurationTaken()
+        return turn_messages.ConfigurationTaken()
 
     def close(self) -> None:
         """Cancel the exchanges in progress."""
@@ -152,7 +158,9 @@
 
     async def _fetch(self, ip: str) -> None:
         assert self._link is not None
-        message = grant.ConfigurationRequest(above_version=self._table.version)
+        message = turn_messages.ConfigurationRequest(
+            above_version=self._table.version
+        )
         try:
             reply = await self._link.ask_configuration(
                 ip, message, _REQUEST_TIMEOUT_S
@@ -168,7 +176,9 @@
         if configuration is None:
             return
         assert self._link is not None
-        message = grant.ConfigurationOffer(content=configuration.content)
+        message = turn_messages.ConfigurationOffer(
+            content=configuration.content
+        )
         try:
             await self._link.offer_configuration(
                 ip, message, _REQUEST_TIMEOUT_S
--- a/lacewingpitch/peer_bootstrap.py
+++ b/lacewingpitch/peer_bootstrap.py
@@ -185,7 +185,7 @@
         self._age.confirm(requested_at_s - reply.configuration_age_s)
         # Routes unknown to the peer may be in force.
         self._exchange.record_store_state(is_unreachable=True)
-        self._servers.adopt(reply.servers, reply.list_age_s)
+        self._servers.replace_from_peer(reply.servers, reply.list_age_s)
         log.info(
             'peer state applied',
             peer=peer.ip,
@@ -203,6 +203,6 @@
             log.error('peer state rejected', peer=peer.ip, error=str(error))
             return False
         for found in reply.versions:
-            self._versions.note(found.model, found.adapter, found.version)
+            self._versions.record(found.model, found.adapter, found.version)
         self._has_applied_reply = True
         return True
--- a/lacewingpitch/platform/backend_client.py
+++ b/lacewingpitch/platform/backend_client.py
@@ -182,7 +182,7 @@
 
 def _request_headers(call: backend_call.BackendCall) -> list[tuple[str, str]]:
     request = call.request
-    remaining_s = call.until_s - time.monotonic()
+    remaining_s = call.deadline_at_s - time.monotonic()
     remaining_ms = max(_MIN_DEADLINE_MS, int(remaining_s * _MS_PER_S))
     headers = [
         *request.headers,
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -9,14 +9,13 @@
 from lacewingpitch import authentication
 from lacewingpitch import backend_call
 from lacewingpitch import backend_list
-from lacewingpitch import carrier as carrier_module
+from lacewingpitch import cached_copies
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
 from lacewingpitch import control_client
 from lacewingpitch import crash_record
 from lacewingpitch import draining
 from lacewingpitch import ejection
-from lacewingpitch import kept_copies
 from lacewingpitch import link
 from lacewingpitch import metrics_server
 from lacewingpitch import peer_bootstrap
@@ -29,14 +28,15 @@
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
+from lacewingpitch import request_forwarder
 from lacewingpitch import retry_budget
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from lacewingpitch import settings as product_settings
-from lacewingpitch import start_wait
+from lacewingpitch import startup_grace
 from lacewingpitch import suspects as suspects_module
-from lacewingpitch import turn_source
+from lacewingpitch import turn_client
 from lacewingpitch import usage_limits
-from lacewingpitch import usage_owners
+from lacewingpitch import usage_ownership
 
 # The retry budget is divided by this number of entries at least, which is
 # more than small deployments have, including spare instances.
@@ -104,12 +104,14 @@
             self._process.random,
             lambda: file.settings.released_fingerprints,
         )
-        ends = self.servers.ends.subscribe(self._suspects.watch.note_ended)
+        ends = self.servers.unplanned_ends.subscribe(
+            self._suspects.detector.record_exit
+        )
         self._process.exits.callback(ends.dispose)
         self._usage = usage_limits.UsageLimits(
             file.settings.instance,
             self._peers,
-            usage_owners.UsageOwners(
+            usage_ownership.UsageOwnership(
                 self.servers, self._has_sidecar, self._process.clock
             ),
             self._process.clock,
@@ -123,12 +125,12 @@
             self._process.metrics.seconds(
                 'request_seconds', 'Time from a request to its end.'
             ),
-            start_wait.StartWait(self._process.clock),
+            startup_grace.StartupGrace(self._process.clock),
             self._process.clock,
             self._authenticator,
             self._usage,
         )
-        self._carrier: carrier_module.Carrier | None = None
+        self._forwarder: request_forwarder.RequestForwarder | None = None
 
     def ports(self) -> dict[str, int]:
         """Return the ports that it listens on, by name."""
@@ -151,9 +153,9 @@
         exits.callback(exchange.close)
         self._process.background.run('settings', self._file.follow)
         self._process.background.run('silence', self.frontend.close_silent)
-        self._carrier = await self._new_carrier(exchange)
+        self._forwarder = await self._new_forwarder(exchange)
         store = await self._watch_store(exchange)
-        self._add_metrics(self._carrier, store)
+        self._add_metrics(self._forwarder, store)
         await self._start_peer_bootstrap(exchange, store)
         await exits.enter_async_context(
             metrics_server.serving(
@@ -165,33 +167,33 @@
         )
         await self.frontend.listen(settings.callers, exits)
 
-    async def _new_carrier(
+    async def _new_forwarder(
         self, exchange: configuration_exchange.ConfigurationExchange
-    ) -> carrier_module.Carrier:
+    ) -> request_forwarder.RequestForwarder:
         settings = self._file.settings
         process = self._process
         placement = placement_module.Placement(
             process.clock,
             product_settings.ObjectiveSettings(stall_weight=1),
-            squeeze_s=0.0,
-            load_age_s=_MAX_LOAD_AGE_S,
-            copies=kept_copies.KeptCopies(),
+            no_spare_slot_penalty_s=0.0,
+            load_max_age_s=_MAX_LOAD_AGE_S,
+            cached_copies=cached_copies.CachedCopies(),
             instance=settings.instance,
         )
-        services = service_choice.ServiceChoice(
+        services = service_balancer.ServiceBalancer(
             self.servers,
             self.ejector,
             settings.availability_zone,
             process.random,
         )
         for forget in (
-            placement.forget,
-            services.forget,
+            placement.reset_instance,
+            services.reset_latency,
             self.ejector.forget,
         ):
             subscription = self.servers.restarts.subscribe(forget)
             process.exits.callback(subscription.dispose)
-        turns = turn_source.TurnSource(
+        turns = turn_client.TurnClient(
             settings.instance,
             self._peers,
             self.servers,
@@ -199,11 +201,11 @@
             self.ejector,
             process.clock,
             exchange.reconcile,
-            self._budgets.note_entries,
+            self._budgets.record_entry_count,
             self._suspects,
         )
         process.background.run('turns', turns.run)
-        return carrier_module.Carrier(
+        return request_forwarder.RequestForwarder(
             backend_client.new_client(process.exits),
             turns,
             services,
@@ -255,7 +257,7 @@
 
     def _add_metrics(
         self,
-        carrier: carrier_module.Carrier,
+        forwarder: request_forwarder.RequestForwarder,
         store: store_module.Store,
     ) -> None:
         metrics = self._process.metrics
@@ -269,7 +271,7 @@
             'requests_resent_total',
             'Requests sent to another backend server, by service.',
             'service',
-            lambda: carrier.resent_count,
+            lambda: forwarder.retry_counts,
         )
         metrics.counter(
             'store_calls_total',
@@ -296,12 +298,12 @@
         metrics.gauge(
             'requests_isolated',
             'Requests that run isolated, as servers crashed under them.',
-            lambda: record.count_of(crash_record.Handling.ISOLATED),
+            lambda: record.request_count(crash_record.Handling.ISOLATED),
         )
         metrics.gauge(
             'requests_barred',
             'Requests that are refused, as servers crashed under them.',
-            lambda: record.count_of(crash_record.Handling.REFUSED),
+            lambda: record.request_count(crash_record.Handling.REFUSED),
         )
         metrics.gauge(
             'requests_in_progress',
@@ -332,21 +334,21 @@
         request: backend_call.CallerRequest,
         delivery: backend_call.Delivery,
     ) -> None:
-        assert self._carrier is not None
-        trail = await self._carrier.carry(request, delivery)
-        if trail.first_event_s:
+        assert self._forwarder is not None
+        history = await self._forwarder.forward(request, delivery)
+        if history.first_event_s:
             self._first_event_times.observe(
-                'route', request.route.name, trail.first_event_s
+                'route', request.route.name, history.first_event_s
             )
         log.info(
             'answered',
             request_id=request.request_id,
-            status=trail.status,
-            backend_servers=trail.servers,
-            turn_wait_ms=round(trail.turn_wait_s * 1000),
-            events=trail.splitter.event_count,
-            first_event_ms=round(trail.first_event_s * 1000),
-            longest_gap_ms=round(trail.longest_gap_s * 1000),
+            status=history.status,
+            backend_servers=history.servers,
+            turn_wait_ms=round(history.turn_wait_s * 1000),
+            events=history.splitter.event_count,
+            first_event_ms=round(history.first_event_s * 1000),
+            longest_gap_ms=round(history.longest_gap_s * 1000),
             list_age_s=round(self.servers.age_s, 1),
         )
 
--- a/lacewingpitch/platform/frontend.py
+++ b/lacewingpitch/platform/frontend.py
@@ -25,7 +25,7 @@
 from lacewingpitch.platform import response_delivery
 from lacewingpitch import routing
 from lacewingpitch import silent_connections
-from lacewingpitch import start_wait as start_wait_module
+from lacewingpitch import startup_grace as startup_grace_module
 from lacewingpitch import usage_limits
 
 _MS_PER_S = 1000
@@ -57,7 +57,7 @@
         Answers a request; raises `errors.RefusalError` if it cannot.
     request_times
         Records the duration of requests by outcome.
-    start_wait
+    startup_grace
         Limits how long requests wait for the first configuration.
     authenticator
         Finds the organisation of a caller by its API key.
@@ -81,7 +81,7 @@
         table: routing.RoutingTable,
         serve: RequestHandler,
         request_times: metrics_module.Seconds,
-        start_wait: start_wait_module.StartWait,
+        startup_grace: startup_grace_module.StartupGrace,
         clock: clock_module.Clock,
         authenticator: authentication_module.Authenticator,
         usage: usage_limits.UsageLimits,
@@ -89,7 +89,7 @@
         self._clock = clock
         self._authenticator = authenticator
         self._usage = usage
-        self._start_wait = start_wait
+        self._startup_grace = startup_grace
         self._table = table
         self._serve = serve
         self._request_times = request_times
@@ -126,7 +126,7 @@
             max_field_size=_MAX_LINE_BYTES,
             auto_decompress=False,
         )
-        self._start_wait.begin()
+        self._startup_grace.begin()
         self._site = await listening.listen(self._server, endpoint, exits)
 
     async def stop_listening(self) -> None:
@@ -202,7 +202,7 @@
         return configuration.limits
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        arrived_s = time.monotonic()
+        arrived_at_s = time.monotonic()
         delivery = response_delivery.ResponseDelivery(
             request, lambda: self.is_draining
         )
@@ -215,10 +215,12 @@
         if transport is None or transport.is_closing():
             raise ConnectionResetError('the connection is closed')
         self._busy_transports.add(transport)
-        self._silent_connections.note_request(transport)
+        self._silent_connections.record_request(transport)
         try:
             http_guard.limit_stall(request, _STALL_TIMEOUT_S)
-            await self._serve_request(request, request_id, delivery, arrived_s)
+            await self._serve_request(
+                request, request_id, delivery, arrived_at_s
+            )
         finally:
             self._busy_transports.discard(transport)
         assert delivery.response is not None
@@ -229,7 +231,7 @@
         request: web.BaseRequest,
         request_id: str,
         delivery: response_delivery.ResponseDelivery,
-        arrived_s: float,
+        arrived_at_s: float,
     ) -> None:
         outcome = 'left'
         route_name = ''
@@ -242,7 +244,7 @@
                 route, caller_headers.api_key(request), arrived_boot_s
             )
             caller_request = await self._read_request(
-                request, request_id, route, caller, arrived_s
+                request, request_id, route, caller, arrived_at_s
             )
             async with self._usage.charged(
                 caller, caller_request.prompt_tokens, caller_request.max_tokens
@@ -263,7 +265,7 @@
             )
             await delivery.refuse(refusal, request_id)
         finally:
-            took_s = time.monotonic() - arrived_s
+            took_s = time.monotonic() - arrived_at_s
             self.ended_by_outcome[outcome] += 1
             self._count_by_organisation(caller)
             self._request_times.observe('outcome', outcome, took_s)
@@ -303,9 +305,9 @@
         )
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
-                self._start_wait.left_s(caller_timeout_s)
+                self._startup_grace.left_s(caller_timeout_s)
             ):
-                await self._table.until_known()
+                await self._table.wait_until_loaded()
 
     async def _find_route(self, request: web.BaseRequest) -> routing.Route:
         await self._wait_until_configured(request)
@@ -324,7 +326,7 @@
         request_id: str,
         route: routing.Route,
         caller: organisation_module.Organisation | None,
-        arrived_s: float,
+        arrived_at_s: float,
     ) -> backend_call.CallerRequest:
         if not request_id:
             raise errors.RefusalError(
@@ -353,8 +355,8 @@
             ),
             body=body,
             route=route,
-            arrived_s=arrived_s,
-            until_s=arrived_s + limit_s,
+            arrived_at_s=arrived_at_s,
+            deadline_at_s=arrived_at_s + limit_s,
             model=model,
             adapter=adapter,
             prompt_tokens=prompt_tokens,
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -6,8 +6,7 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
 from lacewingpitch import crash_record
-from lacewingpitch import engine_keeper
-from lacewingpitch import grant
+from lacewingpitch import engine_controller
 from lacewingpitch import link
 from lacewingpitch import metrics_server
 from lacewingpitch.platform import engine_client as engine_client_module
@@ -16,6 +15,7 @@
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
+from lacewingpitch import turn_messages
 from lacewingpitch import usage_lease
 
 # Each control request waits for one turn.  More would wait at once only at an
@@ -63,7 +63,7 @@
                 self._process.metrics, settings.ip, settings.metrics_port
             )
         )
-        keeper = engine_keeper.EngineKeeper(
+        controller = engine_controller.EngineController(
             engine,
             self._process.table,
             self._process.versions,
@@ -76,19 +76,23 @@
                 lambda: self._file.settings.released_fingerprints,
             ),
         )
-        self._process.exits.push_async_callback(keeper.close)
+        self._process.exits.push_async_callback(controller.close)
         exchange = configuration_exchange.ConfigurationExchange(
             None,
             self._process.table,
             wire.decode_configuration,
             self._process.clock,
         )
-        self._control.handle(grant.TurnRequest, keeper.ask)
-        self._control.handle(grant.TurnEnds, keeper.end)
-        self._control.handle(grant.ConfigurationRequest, exchange.answer)
-        self._control.handle(grant.ConfigurationOffer, exchange.accept)
+        self._control.handle(
+            turn_messages.TurnRequest, controller.request_turn
+        )
+        self._control.handle(turn_messages.TurnEnds, controller.end_turns)
+        self._control.handle(
+            turn_messages.ConfigurationRequest, exchange.answer
+        )
+        self._control.handle(turn_messages.ConfigurationOffer, exchange.accept)
         usage_owner = usage_lease.UsageOwner(self._process.clock)
-        self._control.handle(usage_lease.UsageAsk, usage_owner.answer)
+        self._control.handle(usage_lease.UsageAsk, usage_owner.grant)
         store = store_module.Store(
             session, settings_module.url_of(settings.store)
         )
@@ -114,7 +118,7 @@
             ),
         )
         self._process.background.run('settings', self._file.follow)
-        self._process.background.run('engine', keeper.run)
+        self._process.background.run('engine', controller.run)
         await self._control.start(settings.ip, settings.internal_port)
         self._process.exits.push_async_callback(self._control.close)
 
--- a/lacewingpitch/platform/store.py
+++ b/lacewingpitch/platform/store.py
@@ -284,7 +284,7 @@
                 revision = 0
             except errors.PlatformError as error:
                 took_s = self._clock.monotonic_s() - requested_at_s
-                retry_delay_s = self._backoff.failed(took_s)
+                retry_delay_s = self._backoff.record_failure(took_s)
                 self._record_failure(error, requested_at_s)
                 await asyncio.sleep(retry_delay_s)
 
@@ -356,7 +356,7 @@
                 failures=self._backoff.failure_count,
             )
         self._is_unreachable = False
-        self._backoff.succeeded()
+        self._backoff.record_success()
 
     def _record_failure(
         self, error: errors.PlatformError, requested_at_s: float
--- a/lacewingpitch/platform/store_updates.py
+++ b/lacewingpitch/platform/store_updates.py
@@ -109,7 +109,7 @@
             )
             self._is_unreadable = False
         elif item.key.startswith(names.ADAPTER_VERSION_PREFIX):
-            self._versions.note(*wire.decode_adapter_version(item.value))
+            self._versions.record(*wire.decode_adapter_version(item.value))
 
 
 class BackendUpdates:
@@ -126,15 +126,15 @@
     def apply(self, change: store_module.Change) -> None:
         """Apply a change of the list, or record that it cannot be read."""
         if change.is_read_failure:
-            self._servers.note_away(change.requested_at_s)
+            self._servers.record_read_failure(change.requested_at_s)
             return
-        self._servers.note_read(is_new_epoch=change.is_new_epoch)
+        self._servers.record_read(is_new_epoch=change.is_new_epoch)
         if change.is_full_read:
             found = []
             for item in change.items:
                 server = self._decode(item)
                 if server is None:
-                    self._servers.reject(_name_of(item))
+                    self._servers.discard(_name_of(item))
                 else:
                     found.append(server)
             self._servers.replace_all(found)
@@ -147,10 +147,10 @@
                 continue
             server = self._decode(item)
             if server is None:
-                self._servers.reject(_name_of(item))
+                self._servers.discard(_name_of(item))
             else:
                 self._servers.put(server)
-        self._servers.settle()
+        self._servers.finish_update()
 
     def _decode(
         self, item: store_module.Item
--- a/lacewingpitch/published_contracts.py
+++ b/lacewingpitch/published_contracts.py
@@ -14,7 +14,7 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import config_service
 from lacewingpitch import contract as contract_module
-from lacewingpitch import contract_book
+from lacewingpitch import contract_registry
 from lacewingpitch import decoding
 from lacewingpitch import errors
 
@@ -58,7 +58,7 @@
     ----------
     service
         Configuration service that publishes the contracts.
-    book
+    registry
         Receives the contracts.
     clock
         Source of time.
@@ -79,12 +79,12 @@
     def __init__(
         self,
         service: config_service.ConfigService,
-        book: contract_book.ContractBook,
+        registry: contract_registry.ContractRegistry,
         clock: clock_module.Clock,
         seed: int | None = None,
     ) -> None:
         self._service = service
-        self._book = book
+        self._registry = registry
         self._clock = clock
         self._random = random.Random(seed)
         self._index_revision = 0
@@ -194,9 +194,9 @@
             self._record_problem(shard.name, str(error))
             return
         self._check_duplicates(shard.name, content)
-        self._book.forget_rejected(f'{shard.name}[')
+        self._registry.forget_rejected(f'{shard.name}[')
         for number, raw in enumerate(content.contracts):
-            self._book.accept_json(raw, f'{shard.name}[{number}]')
+            self._registry.accept_json(raw, f'{shard.name}[{number}]')
         self._shard_revisions[shard.name] = shard.revision
         self.problems.pop(shard.name, None)
 
--- a/lacewingpitch/ended_turns.py
+++ b/lacewingpitch/turn_end_reporter.py
@@ -8,9 +8,9 @@
 import structlog
 
 from lacewingpitch import backend_list
-from lacewingpitch import crash_watch
+from lacewingpitch import crash_detector
 from lacewingpitch import errors
-from lacewingpitch import grant
+from lacewingpitch import turn_messages
 
 # Ends of turns are sent together: fewer messages, while a place stays
 # taken hardly longer.
@@ -24,8 +24,8 @@
     """Messages to the sidecars of engines."""
 
     async def end_turns(
-        self, ip: str, message: grant.TurnEnds, timeout_s: float
-    ) -> grant.TurnEndsReply:
+        self, ip: str, message: turn_messages.TurnEnds, timeout_s: float
+    ) -> turn_messages.TurnEndsReply:
         """Say that turns have ended."""
         ...
 
@@ -40,7 +40,7 @@
     )
 
 
-class EndedTurns:
+class TurnEndReporter:
     """Gathers the turns that ended, and sends them to their sidecars.
 
     Parameters
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, link: EndsLink, crashes: crash_watch.CrashWatch
+        self, link: EndsLink, crashes: crash_detector.CrashDetector
     ) -> None:
         self._link = link
         self._crashes = crashes
@@ -75,7 +75,7 @@
         ends = self._ends[ip]
         if len(ends.turn_ids) < _MAX_KEPT_ENDS:
             ends.turn_ids.append(turn_id)
-        if server is not None and self._crashes.is_awaited(server):
+        if server is not None and self._crashes.has_pending(server):
             ends.servers[server.start_id] = server
 
     async def run(self) -> None:
@@ -93,7 +93,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def _send(self, ip: str, ends: _Ends) -> None:
-        message = grant.TurnEnds(
+        message = turn_messages.TurnEnds(
             turn_ids=tuple(ends.turn_ids), asks_state=bool(ends.servers)
         )
         try:
@@ -111,13 +111,13 @@
             return
         for server in ends.servers.values():
             if _is_running(server, reply):
-                self._crashes.note_running(server)
+                self._crashes.record_running(server)
             else:
-                self._crashes.note_ended(server)
+                self._crashes.record_exit(server)
 
 
 def _is_running(
-    server: backend_list.BackendServer, reply: grant.TurnEndsReply
+    server: backend_list.BackendServer, reply: turn_messages.TurnEndsReply
 ) -> bool:
     if not reply.is_running or reply.backend_server != server.name:
         return False
--- a/tests/test_peer_bootstrap.py
+++ b/tests/test_peer_bootstrap.py
@@ -54,7 +54,7 @@
 
     def read_store(self, content=b'5'):
         self.exchange.apply(content, 'store')
-        self.servers.note_read()
+        self.servers.record_read()
         self.servers.replace_all([SERVER])
 
 
@@ -97,12 +97,12 @@
 
         async def scenario(scene):
             scene.other.read_store()
-            scene.other.versions.note('m', 'a', 4)
+            scene.other.versions.record('m', 'a', 4)
             scene.link.entries = {B: Entry(), C: scene.other}
             await asyncio.sleep(20.0)
             await scene.starting.state.run()
             assert scene.starting.table.version == 5
-            assert scene.starting.versions.wanted('m', 'a') == 4
+            assert scene.starting.versions.required_version('m', 'a') == 4
             (found,) = scene.starting.servers.serving('chat')
             assert (found.name, found.adapters) == ('i-1', {})
             assert scene.starting.servers.age_s >= 20.0
@@ -116,7 +116,7 @@
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
             await scene.starting.state.run()
-            assert scene.starting.table.is_away
+            assert scene.starting.table.is_store_unreachable
 
         play(scenario)
 
@@ -136,14 +136,14 @@
 
         async def scenario(scene):
             scene.other.read_store(b'6')
-            scene.other.versions.note('m', 'a', 4)
+            scene.other.versions.record('m', 'a', 4)
             scene.link.entries = {B: scene.other}
             scene.starting.is_restored = True
             scene.starting.read_store(b'5')
             await scene.starting.state.run()
             assert scene.starting.table.version == 6
-            assert scene.starting.versions.wanted('m', 'a') == 4
-            assert not scene.starting.table.is_away
+            assert scene.starting.versions.required_version('m', 'a') == 4
+            assert not scene.starting.table.is_store_unreachable
             assert scene.link.requested == [A, B]
 
         play(scenario)
@@ -162,7 +162,7 @@
             scene.link.entries = {B: scene.other}
             await running
             assert scene.starting.servers.get('gone') is None
-            assert not scene.starting.table.is_away
+            assert not scene.starting.table.is_store_unreachable
 
         play(scenario)
 
@@ -200,7 +200,7 @@
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
             await scene.starting.state.run()
-            scene.starting.servers.note_read()
+            scene.starting.servers.record_read()
             scene.starting.servers.replace_all([])
             assert scene.starting.servers.serving('chat')
             await asyncio.sleep(3.0)
--- a/tests/test_platform_store_updates.py
+++ b/tests/test_platform_store_updates.py
@@ -232,7 +232,7 @@
             )
         )
         assert table.version == 5
-        assert versions.wanted('m', 'a') == 4
+        assert versions.required_version('m', 'a') == 4
         route = table.find('h.example', '/chat/x')
         assert route.is_resumable and route.is_stream
         assert route.timeout_s == 8.0
@@ -256,9 +256,9 @@
     def test_records_whether_the_store_can_be_read(self):
         updates, table, _ = self.scene()
         updates.apply(store.Change(is_read_failure=True))
-        assert table.is_away
+        assert table.is_store_unreachable
         updates.apply(store.Change())
-        assert not table.is_away
+        assert not table.is_store_unreachable
 
 
 class TestSplits:
