--- a/lacewingpitch/control_client.py
+++ b/lacewingpitch/control_client.py
@@ -1,60 +1,71 @@
-"""Control messages of an entry to sidecars and to other entries."""
+"""Client of the control messages from an entry to its peers."""
 
 from lacewingpitch import errors
-from lacewingpitch import grant
 from lacewingpitch import link
 from lacewingpitch import peer_bootstrap
 from lacewingpitch import settings
+from lacewingpitch import turn_messages
 from lacewingpitch import usage_lease
 
 
 class ControlClient:
-    """The control links of an entry, one to each process it asks.
+    """Sends control messages to sidecars and to other entries.
+
+    All methods wait up to `timeout_s` for the reply, and raise
+    `errors.LinkError` if there is none that is usable.
 
     Parameters
     ----------
     sidecar_port
-        Control port, the same at every sidecar.
+        Control port; every sidecar uses the same.
     """
 
     def __init__(self, pool: link.PeerPool, sidecar_port: int) -> None:
         self._pool = pool
         self._sidecar_port = sidecar_port
 
-    async def ask_turn(
-        self, ip: str, request: grant.TurnRequest, timeout_s: float
-    ) -> grant.TurnReply:
-        """Ask for a turn."""
-        return await self._sidecar(ip).ask(request, grant.TurnReply, timeout_s)
+    async def request_turn(
+        self, ip: str, request: turn_messages.TurnRequest, timeout_s: float
+    ) -> turn_messages.TurnReply:
+        """Request a turn from a sidecar."""
+        return await self._sidecar(ip).ask(
+            request, turn_messages.TurnReply, timeout_s
+        )
 
     async def end_turns(
-        self, ip: str, message: grant.TurnEnds, timeout_s: float
-    ) -> grant.TurnEndsReply:
-        """Say that turns have ended."""
+        self, ip: str, message: turn_messages.TurnEnds, timeout_s: float
+    ) -> turn_messages.TurnEndsReply:
+        """Report to a sidecar that turns have ended."""
         return await self._sidecar(ip).ask(
-            message, grant.TurnEndsReply, timeout_s
+            message, turn_messages.TurnEndsReply, timeout_s
         )
 
     async def ask_configuration(
-        self, ip: str, message: grant.ConfigurationRequest, timeout_s: float
-    ) -> grant.ConfigurationReply:
-        """Ask for a newer configuration."""
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationRequest,
+        timeout_s: float,
+    ) -> turn_messages.ConfigurationReply:
+        """Request a configuration newer than a version from a sidecar."""
         return await self._sidecar(ip).ask(
-            message, grant.ConfigurationReply, timeout_s
+            message, turn_messages.ConfigurationReply, timeout_s
         )
 
     async def offer_configuration(
-        self, ip: str, message: grant.ConfigurationOffer, timeout_s: float
+        self,
+        ip: str,
+        message: turn_messages.ConfigurationOffer,
+        timeout_s: float,
     ) -> None:
-        """Bring a newer configuration."""
+        """Send a newer configuration to a sidecar."""
         await self._sidecar(ip).ask(
-            message, grant.ConfigurationTaken, timeout_s
+            message, turn_messages.ConfigurationTaken, timeout_s
         )
 
     async def ask_usage(
         self, ip: str, message: usage_lease.UsageAsk, timeout_s: float
     ) -> usage_lease.UsageReply:
-        """Ask for parts of limits."""
+        """Request leases on parts of usage limits from their owner."""
         return await self._sidecar(ip).ask(
             message, usage_lease.UsageReply, timeout_s
         )
@@ -65,7 +76,7 @@
         message: peer_bootstrap.StateRequest,
         timeout_s: float,
     ) -> peer_bootstrap.StateReply:
-        """Ask another entry what is published."""
+        """Request the published state from another entry."""
         return await self._peer(entry.ip, entry.port).ask(
             message, peer_bootstrap.StateReply, timeout_s
         )
--- a/lacewingpitch/request_forwarder.py
+++ b/lacewingpitch/request_forwarder.py
@@ -17,13 +17,13 @@
 from lacewingpitch import errors
 from lacewingpitch import event_splitter
 from lacewingpitch import idle_timeout
-from lacewingpitch import plain_turns
+from lacewingpitch import plain_server_selector
 from lacewingpitch import request_history
 from lacewingpitch import retry_budget
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from lacewingpitch import suspects as suspects_module
-from lacewingpitch import turn_source
-from lacewingpitch import wanted_turn
+from lacewingpitch import turn_client
+from lacewingpitch import turn_spec
 
 # Servers that accept no connection do not count as attempts.  More than these
 # would only use up the caller's time.
@@ -55,8 +55,8 @@
     def __init__(
         self,
         client: backend_call.BackendClient,
-        turns: turn_source.TurnSource,
-        services: service_choice.ServiceChoice,
+        turns: turn_client.TurnClient,
+        services: service_balancer.ServiceBalancer,
         ejector: ejection.Ejector,
         budgets: retry_budget.ServiceBudgets,
         versions: adapter_versions.AdapterVersions,
@@ -65,7 +65,9 @@
         suspects: suspects_module.Suspects,
     ) -> None:
         self._suspects = suspects
-        self._plain_turns = plain_turns.PlainTurns(services, suspects.record)
+        self._plain_servers = plain_server_selector.PlainServerSelector(
+            services, suspects.record
+        )
         self._clock = clock
         self._client = client
         self._turns = turns
@@ -168,20 +170,20 @@
         request: backend_call.CallerRequest,
         services: tuple[str, ...],
         history: request_history.RequestHistory,
-    ) -> AsyncIterator[wanted_turn.Turn]:
+    ) -> AsyncIterator[turn_spec.Turn]:
         """Acquire a turn on the backend server for the next attempt.
 
         Requests without a model need no turn.
         """
         if not request.model:
-            with self._plain_turns.turn(
+            with self._plain_servers.select(
                 request.fingerprint, services, history.servers
             ) as server:
-                yield wanted_turn.Turn(server, 0)
+                yield turn_spec.Turn(server, 0)
             return
         started_s = self._clock.monotonic_s()
         caller = request.organisation
-        wanted = wanted_turn.WantedTurn(
+        wanted = turn_spec.TurnSpec(
             run_id=request.request_id,
             attempt=history.sent_count + history.unreached_count + 1,
             service=services[0],
@@ -202,14 +204,14 @@
             weight=caller.weight if caller else 1.0,
             fingerprint=request.fingerprint,
         )
-        async with self._turns.turn(wanted, history.servers) as turn:
+        async with self._turns.acquire(wanted, history.servers) as turn:
             history.turn_wait_s += self._clock.monotonic_s() - started_s
             yield turn
 
     async def _attempt(
         self,
         request: backend_call.CallerRequest,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
         history: request_history.RequestHistory,
         delivery: backend_call.Delivery,
     ) -> '_Failure | None':
@@ -242,7 +244,9 @@
             self._ejector.record_end(name)
         self._ejector.record_success(name)
         self._suspects.record.record_answer(request.fingerprint)
-        self._services.answered(name, self._clock.monotonic_s() - started_s)
+        self._services.record_latency(
+            name, self._clock.monotonic_s() - started_s
+        )
         return None
 
     async def _call(
@@ -300,7 +304,7 @@
     def _record_failure(
         self,
         request: backend_call.CallerRequest,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
         history: request_history.RequestHistory,
         error: errors.PlatformError,
     ) -> '_Failure':
@@ -358,7 +362,7 @@
     def _record_crash(
         self,
         request: backend_call.CallerRequest,
-        turn: wanted_turn.Turn,
+        turn: turn_spec.Turn,
         history: request_history.RequestHistory,
         error: errors.PlatformError,
     ) -> None:
