--- a/tests/test_platform_backend_client.py
+++ b/tests/test_platform_backend_client.py
@@ -1,4 +1,4 @@
-"""Which connections to backend servers are used again, over loopback."""
+"""Reuse of connections to backend servers, over the loopback interface."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class Server:
-    """Answers each request by a script, and counts connections."""
+    """Answers each request with a scripted response; counts connections."""
 
     def __init__(self):
         self.connection_count = 0
@@ -72,7 +72,7 @@
     return backend_call.BackendCall(request, server, 0, 0, now_s + 5.0)
 
 
-def play(story):
+def play(scenario):
     async def main():
         server = Server()
         listening = await asyncio.start_server(server.serve, '127.0.0.1', 0)
@@ -86,7 +86,7 @@
                 async with client.send(call) as found:
                     return b''.join([chunk async for chunk in found.chunks])
 
-            await story(server, send)
+            await scenario(server, send)
         listening.close()
         for writer in server.writers:
             writer.close()
@@ -95,40 +95,41 @@
 
 
 class TestReuse:
-    def test_requests_that_may_run_twice_share_a_connection(self):
-        async def story(server, send):
+    def test_idempotent_requests_share_a_connection(self):
+        async def scenario(server, send):
             for number in range(5):
                 assert await send(f'r{number}') == BODY
             assert server.connection_count == 1
 
-        play(story)
+        play(scenario)
 
     @pytest.mark.parametrize(
         'kind', [routing.RequestKind.AT_MOST_ONCE, routing.RequestKind.STREAM]
     )
-    def test_what_may_run_once_has_its_own(self, kind):
-        """A request that may run once is sent on a connection that dies.
+    def test_other_requests_use_a_connection_of_their_own(self, kind):
+        """Guards against a lost request that must not run twice.
 
-        Its server closes a kept connection as the request is on its way;
-        whether it ran is not known, and it can't be sent again.
+        Its server closes a persistent connection while the request is in
+        transit; it is unknown whether it ran, so that it cannot be sent
+        again.
         """
 
-        async def story(server, send):
+        async def scenario(server, send):
             await send('first')
             for number in range(3):
                 await send(f'r{number}', kind=kind)
             assert server.connection_count == 4
 
-        play(story)
+        play(scenario)
 
-    def test_not_after_bytes_behind_an_answer(self):
-        """A caller gets the answer of another request.
+    def test_a_connection_with_extra_bytes_is_not_reused(self):
+        """Guards against a caller receiving the answer to another request.
 
-        A server sends an answer twice; the second lies on the connection
-        where the next request's answer is due.
+        A server sends a response twice; the duplicate would be read as the
+        response to the next request.
         """
 
-        async def story(server, send):
+        async def scenario(server, send):
             server.scripts = [
                 lambda name: answer(name, extra=answer('stranger'))
             ]
@@ -137,10 +138,10 @@
                 assert await send('two') == BODY
             assert await send('three') == BODY
 
-        play(story)
+        play(scenario)
 
-    def test_a_late_second_answer_is_not_believed(self):
-        async def story(server, send):
+    def test_a_late_duplicate_response_is_not_accepted(self):
+        async def scenario(server, send):
             assert await send('one') == BODY
             server.writers[0].write(answer('one', body=b'other'))
             await asyncio.sleep(0.05)
@@ -151,10 +152,10 @@
                 assert await send('two') == BODY
             assert await send('three') == BODY
 
-        play(story)
+        play(scenario)
 
-    def test_not_after_an_answer_that_broke_off(self):
-        async def story(server, send):
+    def test_a_connection_with_an_incomplete_response_is_not_reused(self):
+        async def scenario(server, send):
             server.scripts = [lambda name: answer(name, body=b'wh')]
 
             async def broken():
@@ -166,10 +167,10 @@
             assert await send('two') == BODY
             assert server.connection_count == 2
 
-        play(story)
+        play(scenario)
 
-    def test_an_answer_without_a_length_ends_its_connection(self):
-        async def story(server, send):
+    def test_a_response_without_a_length_closes_its_connection(self):
+        async def scenario(server, send):
             head = b'HTTP/1.1 200 OK\r\nRequest-Id: one\r\n\r\n'
             server.scripts = [lambda name: head + BODY]
             sending = asyncio.create_task(send('one'))
@@ -179,40 +180,40 @@
             assert await send('two') == BODY
             assert server.connection_count == 2
 
-        play(story)
+        play(scenario)
 
 
 class TestStale:
-    def test_a_reset_on_a_kept_connection_is_told_apart(self):
-        """A healthy server is passed over after idle connections closed.
+    def test_a_reset_of_a_reused_connection_is_a_stale_connection(self):
+        """Guards against avoiding a healthy server.
 
-        It drops a kept connection without a word, and resets what is sent
-        next on it.
+        The server drops an idle connection without closing it, and resets
+        it when the next request arrives.
         """
 
-        async def story(server, send):
+        async def scenario(server, send):
             await send('one')
             server.scripts = [lambda name: None]
             with pytest.raises(backend_call.StaleConnectionError):
                 await send('two')
             assert await send('three') == BODY
 
-        play(story)
+        play(scenario)
 
-    def test_on_a_new_connection_it_is_the_servers_failure(self):
-        async def story(server, send):
+    def test_a_reset_of_a_new_connection_is_a_failure_of_the_server(self):
+        async def scenario(server, send):
             server.scripts = [lambda name: None]
             with pytest.raises(backend_call.AnswerLostError):
                 await send('one')
 
-        play(story)
+        play(scenario)
 
-    def test_one_that_was_closed_meanwhile_is_not_used(self):
-        async def story(server, send):
+    def test_a_connection_closed_while_idle_is_not_reused(self):
+        async def scenario(server, send):
             await send('one')
             server.writers[0].close()
             await asyncio.sleep(0.05)
             assert await send('two') == BODY
             assert server.connection_count == 2
 
-        play(story)
+        play(scenario)
--- a/tests/test_platform_caller_headers.py
+++ b/tests/test_platform_caller_headers.py
@@ -1,4 +1,4 @@
-"""Reading the headers of callers' requests."""
+"""Parsing of the headers of callers' requests."""
 
 from aiohttp import test_utils
 import hypothesis
@@ -30,8 +30,8 @@
         sent = request(('Authorization', f'{scheme} key-1'))
         assert caller_headers.api_key(sent) == 'key-1'
 
-    def test_two_are_none(self):
-        """Guards against one that is checked and another that counts."""
+    def test_two_keys_count_as_none(self):
+        """Guards against checking one key and using another."""
         sent = request(
             ('Authorization', 'Token key-1'), ('authorization', 'Token key-2')
         )
@@ -40,22 +40,22 @@
 
 class TestNumbers:
     @pytest.mark.parametrize('text', ['9' * 5000, '-1', '1.5', 'x'])
-    def test_others_are_refused(self, text):
-        """Guards against a number so long that reading it fails."""
+    def test_malformed_numbers_are_refused(self, text):
+        """Guards against numbers that are too long to be parsed."""
         with pytest.raises(errors.RefusalError) as found:
             caller_headers.number(
                 request(('Deadline-Ms', text)), 'Deadline-Ms'
             )
         assert found.value.status == 400
 
-    def test_tokens_that_cannot_be_read_are_none(self):
+    def test_malformed_tokens_count_as_zero(self):
         sent = request(('Token-Usage', f'{"9" * 5000},x'))
         assert caller_headers.tokens(sent) == (0, 0)
 
 
 class TestAnyHeaders:
     @hypothesis.given(HEADERS)
-    def test_nothing_fails_and_no_identity_goes_on(self, headers):
+    def test_parsing_never_fails_and_no_identity_is_forwarded(self, headers):
         sent = request(*headers)
         caller_headers.api_key(sent)
         caller_headers.tokens(sent)
--- a/tests/test_platform_frontend.py
+++ b/tests/test_platform_frontend.py
@@ -1,4 +1,4 @@
-"""The interface towards callers while an instance starts."""
+"""The HTTP server of an entry: start, drain, API keys and usage limits."""
 
 import asyncio
 import contextlib
@@ -41,24 +41,24 @@
 
 
 class Scene:
-    """A front that serves, and a caller."""
+    """A running frontend and a caller."""
 
     def __init__(self):
-        time_source = clock.SystemClock()
+        system_clock = clock.SystemClock()
         self.table = routing.RoutingTable(random.Random(1))
-        self.age = configuration_age.ConfigurationAge(time_source)
-        self.link = usage_fakes.Link(time_source)
-        self.taken = []
+        self.age = configuration_age.ConfigurationAge(system_clock)
+        self.link = usage_fakes.Link(system_clock)
+        self.received = []
         self.frontend = frontend_module.Frontend(
             self.table,
             self._serve,
             metrics.Metrics('edge-1', 'zone-a').seconds('s', 'Times.'),
-            startup_grace.StartupGrace(time_source),
-            time_source,
+            startup_grace.StartupGrace(system_clock),
+            system_clock,
             authentication.Authenticator(
                 self.table, self.age, 5.0, random.Random(1)
             ),
-            usage_fakes.limits(self.link, time_source),
+            usage_fakes.limits(self.link, system_clock),
         )
 
     async def __aenter__(self):
@@ -78,7 +78,7 @@
         await self._exits.aclose()
 
     async def _serve(self, request, delivery):
-        self.taken.append(request)
+        self.received.append(request)
         answer = backend_call.BackendAnswer(200, (), False, None)
         await delivery.send_whole(answer, b'whole')
 
@@ -114,25 +114,25 @@
         self, scene
     ):
         """Guards against refusals in the first moment after a restart."""
-        asked = asyncio.create_task(scene.call())
+        call = asyncio.create_task(scene.call())
         await asyncio.sleep(0.5)
-        assert not asked.done()
+        assert not call.done()
         scene.configure()
-        assert await asked == 200
+        assert await call == 200
 
-    async def test_it_is_refused_if_that_takes_long(self, scene):
+    async def test_a_request_is_refused_if_that_takes_too_long(self, scene):
         started_s = time.monotonic()
         assert await scene.call() == 503
         assert time.monotonic() - started_s < 3.0
-        # From then on it is known that it takes longer.
+        # The grace period is over, so that later requests do not wait.
         started_s = time.monotonic()
         assert await scene.call() == 503
         assert time.monotonic() - started_s < 0.5
 
 
-class TestSilence:
-    async def test_a_head_that_does_not_end_is_given_up(self, scene):
-        """Guards against connections taken by heads that never end."""
+class TestSilentConnections:
+    async def test_an_incomplete_request_is_closed(self, scene):
+        """Guards against connections held by requests that never end."""
         scene.configure(routing.CallerLimits(idle_timeout_s=0.5))
         reader, writer = await scene.connect()
         with contextlib.closing(writer):
@@ -140,7 +140,7 @@
             async with asyncio.timeout(5.0):
                 assert await reader.read() == b''
 
-    async def test_one_that_was_used_stays_open(self, scene):
+    async def test_a_connection_that_was_used_stays_open(self, scene):
         scene.configure(routing.CallerLimits(idle_timeout_s=0.5))
         assert await scene.call() == 200
         reader, writer = await scene.connect()
@@ -155,7 +155,7 @@
 
 class TestDrain:
     @pytest.mark.parametrize('step_count', [0, 1, 2])
-    def test_what_comes_as_its_connection_closes_is_not_sent_on(
+    def test_a_request_on_a_closing_connection_is_not_forwarded(
         self, step_count
     ):
         """Guards against an answer lost as its idle connection closes."""
@@ -189,7 +189,8 @@
                 writer.close()
                 return served if not was_busy else []
 
-        # The loop that daemons use tells of a closed connection later.
+        # uvloop, which the daemons use, reports a closed connection later
+        # than the loop of asyncio.
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             assert runner.run(main()) == []
 
@@ -204,10 +205,10 @@
         scene.configure(organisations=(BALCONY, GARDEN))
         scene.age.confirm(clock.SystemClock().boot_s())
 
-    async def test_a_known_key_names_the_organisation(self, scene):
+    async def test_a_known_key_identifies_the_organisation(self, scene):
         assert await scene.call(authorization('Token key-1')) == 200
-        assert scene.taken[0].organisation is BALCONY
-        assert scene.taken[0].rank == BALCONY.rank
+        assert scene.received[0].organisation is BALCONY
+        assert scene.received[0].rank == BALCONY.rank
 
     @pytest.mark.parametrize(
         'sent',
@@ -224,45 +225,51 @@
             (('X-Authorization', 'Token key-1'),),
         ],
     )
-    async def test_all_else_is_refused_and_runs_nowhere(self, scene, sent):
+    async def test_any_other_key_is_refused_and_not_forwarded(
+        self, scene, sent
+    ):
         assert await scene.call(*sent) == 401
-        assert not scene.taken
+        assert not scene.received
 
-    async def test_no_key_and_no_claimed_name_goes_on(self, scene):
-        """Guards against keys, and names of others, at backend servers."""
+    async def test_keys_and_organisation_headers_are_not_forwarded(
+        self, scene
+    ):
+        """Guards against leaked keys and forged organisations at servers."""
         await scene.call(
             authorization('Token key-1'),
             ('Tenant', 'garden'),
             ('tenant', 'garden'),
             ('X-Kept', '1'),
         )
-        names = [name.lower() for name, _ in scene.taken[0].headers]
+        names = [name.lower() for name, _ in scene.received[0].headers]
         assert 'authorization' not in names
         assert 'tenant' not in names
         assert 'x-kept' in names
 
-    async def test_a_public_route_takes_no_claimed_name(self, scene):
+    async def test_a_public_route_ignores_organisation_headers(self, scene):
         status = await scene.call(('Tenant', 'garden'), path='/public/1')
         assert status == 200
-        assert scene.taken[0].organisation is None
-        assert not [n for n, _ in scene.taken[0].headers if n == 'Tenant']
+        assert scene.received[0].organisation is None
+        assert not [n for n, _ in scene.received[0].headers if n == 'Tenant']
 
-    async def test_a_key_goes_on_where_no_organisation_has_one(self, scene):
+    async def test_a_key_is_forwarded_if_no_organisations_are_listed(
+        self, scene
+    ):
         scene.configure(version=8)
         claimed = ('Tenant', 'garden')
         assert await scene.call(authorization('Basic x'), claimed) == 200
-        assert authorization('Basic x') in scene.taken[0].headers
-        assert claimed not in scene.taken[0].headers
+        assert authorization('Basic x') in scene.received[0].headers
+        assert claimed not in scene.received[0].headers
 
-    async def test_a_key_that_was_taken_away_is_refused(self, scene):
+    async def test_a_revoked_key_is_refused(self, scene):
         scene.configure(organisations=(GARDEN,), version=8)
         assert await scene.call(authorization('Token key-1')) == 401
 
-    async def test_is_refused_where_keys_cannot_be_checked(self, scene):
-        """Guards against void keys at an instance without the store."""
+    async def test_a_key_is_refused_while_it_cannot_be_checked(self, scene):
+        """Guards against revoked keys at an instance without the store."""
         scene.age._confirmed_at_s -= 60.0
         assert await scene.call(authorization('Token key-1')) == 503
-        assert not scene.taken
+        assert not scene.received
 
     async def test_no_key_is_logged(self, scene):
         with structlog.testing.capture_logs() as lines:
@@ -275,7 +282,7 @@
 
 
 class TestUsage:
-    async def test_a_limit_that_is_used_up_is_answered_429(self, scene):
+    async def test_a_request_above_the_limit_is_answered_429(self, scene):
         limit = organisation.UsageLimit(1.0, 1000.0)
         scene.configure(
             organisations=(dataclasses.replace(BALCONY, limit=limit),)
@@ -285,4 +292,4 @@
         tokens = ('Token-Usage', '400,80')
         assert await scene.call(key, tokens) == 200
         assert await scene.call(key, tokens) == 429
-        assert len(scene.taken) == 1
+        assert len(scene.received) == 1
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the platform's daemons, from their template and file."""
+"""Settings of the platform's daemons: template, check and reload."""
 
 import json
 import os
@@ -38,7 +38,7 @@
 
 
 class TestTemplate:
-    def test_gives_each_daemon_what_it_needs(self, tmp_path):
+    def test_has_all_fields_that_each_daemon_needs(self, tmp_path):
         entry = settings.SettingsFile(write(tmp_path, fields('entry')))
         entry.require('callers', 'ready')
         assert entry.settings.propagation_limit_s == 2.0
@@ -47,31 +47,31 @@
         sidecar.require('engine', 'service')
         assert settings.port_of(sidecar.settings.engine) == 8145
 
-    def test_one_daemon_cannot_run_with_the_others(self, tmp_path):
+    def test_a_sidecar_does_not_accept_settings_of_an_entry(self, tmp_path):
         file = settings.SettingsFile(write(tmp_path, fields('entry')))
         with pytest.raises(errors.SettingsError, match='engine, service'):
             file.require('engine', 'service')
 
 
 class TestCheck:
-    def test_says_that_all_is_well(self, tmp_path):
+    def test_accepts_valid_settings(self, tmp_path):
         found = run(write(tmp_path, fields()), 'check')
         assert found.returncode == 0
 
-    def test_names_field_and_value(self, tmp_path):
+    def test_reports_the_field_and_its_value(self, tmp_path):
         bad = {**fields(), 'drain_s': 'soon'}
         found = run(write(tmp_path, bad), 'check')
         assert found.returncode == 1
         assert 'drain_s' in found.stderr and 'soon' in found.stderr
 
-    def test_a_daemon_without_its_fields_says_so(self, tmp_path):
+    def test_a_daemon_reports_missing_fields(self, tmp_path):
         found = run(write(tmp_path, fields('entry')), 'sidecar')
         assert found.returncode == 1
         assert 'engine, service needed' in found.stderr
 
 
 class TestReload:
-    def test_takes_over_what_has_changed(self, tmp_path):
+    def test_applies_changed_settings(self, tmp_path):
         path = write(tmp_path, fields())
         file = settings.SettingsFile(path)
         write(tmp_path, {**fields(), 'drain_s': 20.0})
@@ -79,7 +79,7 @@
         file.reload_if_changed()
         assert file.settings.drain_s == 20.0
 
-    def test_keeps_what_was_in_force_if_the_file_is_wrong(self, tmp_path):
+    def test_keeps_the_current_settings_if_the_file_is_invalid(self, tmp_path):
         path = write(tmp_path, fields())
         file = settings.SettingsFile(path)
         path.write_text('{')
