--- a/tests/platform_processes.py
+++ b/tests/platform_processes.py
@@ -1,4 +1,4 @@
-"""The programs of the deploy file, started on a stand-in of the platform."""
+"""Runs the programs of the deploy file with a stand-in for the platform."""
 
 import asyncio
 import base64
@@ -17,8 +17,8 @@
 from tests import relay
 
 START_S = 30.0
-# The metrics port is the same at every instance, so that tests which run
-# beside each other need addresses of their own, also those of other runs.
+# The metrics port is the same at every instance.  Tests that run in parallel,
+# also those of other test runs, therefore need IP addresses of their own.
 WORKER = int(os.environ.get('PYTEST_XDIST_WORKER', 'gw0')[2:])
 RUN = 20 + os.getppid() % 200
 NETWORK = f'127.{RUN}.{WORKER}'
@@ -64,8 +64,8 @@
 class Platform:
     """The stand-in with entries, and two engines with their sidecars.
 
-    With `is_relayed` each part of the stand-in, and each entry, is
-    reached through a relay, by its name in `relays`.
+    With `is_relayed`, each part of the stand-in and each entry is reached
+    through a relay; `relays` holds them by name.
     """
 
     def __init__(self, folder, entry_count=1, is_relayed=False, tenants=None):
@@ -75,7 +75,7 @@
         self._is_relayed = is_relayed
         self.relays = {}
         self.entries = []
-        self.callers_of = []
+        self.caller_urls = []
         self.store = standin.Store()
         self.engines = [standin.Engine('i-1'), standin.Engine('i-2')]
         self.services = [standin.Service('p-1'), standin.Service('p-2')]
@@ -83,42 +83,46 @@
         self.programs = []
 
     async def __aenter__(self):
-        address = await self._serve('store', self.store, '127.0.0.1')
+        store_address = await self._serve('store', self.store, '127.0.0.1')
         ports = {
             'internal': _free_port(SIDECAR_IPS[0]),
             'callers': _free_port(ENTRY_IPS[0]),
             'ready': _free_port(ENTRY_IPS[0]),
             'control': _free_port(ENTRY_IPS[0]),
         }
-        first = standin.configuration(5, tenants=self._tenants)
-        await self.store.put('op/config', first)
+        configuration = standin.configuration(5, tenants=self._tenants)
+        await self.store.put('op/config', configuration)
         for ip, engine in zip(SIDECAR_IPS, self.engines, strict=True):
-            own = await self._serve_directly(engine, ip)
-            place = await self._relayed(engine.name, own, ip)
-            entry = engine.entry(place)
+            direct_address = await self._serve_directly(engine, ip)
+            address = await self._relayed(engine.name, direct_address, ip)
+            entry = engine.entry(address)
             await self.store.put(f'servers/{engine.name}', entry)
-            settings = {'address': address, 'engine': own}
+            settings = {'address': store_address, 'engine': direct_address}
             await self._start('sidecar', ip, ports, settings)
         for service in self.services:
-            place = await self._serve(service.name, service, '127.0.0.1')
-            entry = service.entry(place)
+            address = await self._serve(service.name, service, '127.0.0.1')
+            entry = service.entry(address)
             await self.store.put(f'servers/{service.name}', entry)
         for ip in self._entry_ips:
-            entry = await self._start('entry', ip, ports, {'address': address})
+            entry = await self._start(
+                'entry', ip, ports, {'address': store_address}
+            )
             self.entries.append(entry)
-            own = f'{ip}:{ports["callers"]}'
-            place = await self._relayed(f'entry-{ip}', own, '127.0.0.1')
-            self.callers_of.append(f'http://{place}')
+            direct_address = f'{ip}:{ports["callers"]}'
+            address = await self._relayed(
+                f'entry-{ip}', direct_address, '127.0.0.1'
+            )
+            self.caller_urls.append(f'http://{address}')
         self.entry = self.entries[0]
         self.session = await self._exits.enter_async_context(
             aiohttp.ClientSession()
         )
-        self.callers = self.callers_of[0]
+        self.callers = self.caller_urls[0]
         self.ready = f'http://{ENTRY_IPS[0]}:{ports["ready"]}'
         await self.until(self.is_ready)
-        taken = [p for p in self.programs if p.role == 'sidecar']
+        sidecars = [p for p in self.programs if p.role == 'sidecar']
         await self.until(
-            lambda: all(p.events('engine taken over') for p in taken)
+            lambda: all(p.events('engine taken over') for p in sidecars)
         )
         return self
 
@@ -128,13 +132,13 @@
         await self._exits.aclose()
 
     async def _serve(self, name, part, ip):
-        place = await self._serve_directly(part, ip)
-        return await self._relayed(name, place, ip)
+        address = await self._serve_directly(part, ip)
+        return await self._relayed(name, address, ip)
 
-    async def _relayed(self, name, place, ip):
+    async def _relayed(self, name, address, ip):
         if not self._is_relayed:
-            return place
-        target_ip, _, port = place.rpartition(':')
+            return address
+        target_ip, _, port = address.rpartition(':')
         found = relay.Relay(int(port), target_ip, ip)
         self.relays[name] = await self._exits.enter_async_context(found)
         return f'{ip}:{found.port}'
@@ -167,7 +171,7 @@
             return False
 
     def address_of(self, server):
-        """Return where a server is listed."""
+        """Return the address with which a server is listed."""
         item = self.store.items[f'servers/{server.name}']
         return json.loads(base64.b64decode(item['value']))['address']
 
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform: its store, engines and a service."""
+"""A stand-in for the platform: its store, model engines and a service."""
 
 import asyncio
 import base64
@@ -19,7 +19,7 @@
 
 
 class Store:
-    """Items with revisions, ranges and watches."""
+    """A key-value store with revisions, paged reads and watches."""
 
     def __init__(self):
         self.revision = 10
@@ -28,23 +28,23 @@
         self.oldest = 10
         self.is_down = False
         self.call_count = 0
-        self.news = asyncio.Condition()
+        self._changed = asyncio.Condition()
         self.page_size = 3
         self.epoch = 1
 
-    def copy(self):
-        """Return what a later return to this moment brings back."""
+    def backup(self):
+        """Return a backup for a later `restore`."""
         return self.revision, dict(self.items)
 
-    async def go_back(self, copy):
-        """Come back from a copy: what was written since is gone."""
-        self.revision, items = copy
+    async def restore(self, backup):
+        """Restore a backup; later writes are lost, and the epoch rises."""
+        self.revision, items = backup
         self.items = dict(items)
         self.history.clear()
         self.oldest = self.revision
         self.epoch += 1
-        async with self.news:
-            self.news.notify_all()
+        async with self._changed:
+            self._changed.notify_all()
 
     async def put(self, key, value):
         content = base64.b64encode(json.dumps(value).encode()).decode()
@@ -54,12 +54,12 @@
         self.revision += 1
         item = {'key': key, 'value': content, 'revision': self.revision}
         self.items[key] = item
-        await self._tell(item)
+        await self._record_event(item)
 
     async def delete(self, key):
         self.revision += 1
         del self.items[key]
-        await self._tell(
+        await self._record_event(
             {'key': key, 'revision': self.revision, 'deleted': True}
         )
 
@@ -67,10 +67,10 @@
         self.history.clear()
         self.oldest = self.revision
 
-    async def _tell(self, event):
+    async def _record_event(self, event):
         self.history.append(event)
-        async with self.news:
-            self.news.notify_all()
+        async with self._changed:
+            self._changed.notify_all()
 
     def routes(self):
         return [
@@ -117,8 +117,8 @@
                         return web.Response()
                     if after < self.oldest or after > self.revision:
                         return web.Response(status=410)
-                    async with self.news:
-                        await self.news.wait()
+                    async with self._changed:
+                        await self._changed.wait()
         if self.is_down:
             return web.Response(status=503)
         events = self._events(prefix, after)
@@ -133,7 +133,7 @@
 
 
 class Engine:
-    """A model engine, with the answers that the pages describe."""
+    """A model engine that answers as documented by the platform."""
 
     def __init__(self, name, adapter_slots=4):
         self.name = name
@@ -142,30 +142,30 @@
         self.pending = {}
         self.runs = []
         self.ran = []
-        # Of each run its id, its time and its headers.
-        self.identified = []
+        # Id, start time and headers of each run.
+        self.run_log = []
         self.seen = []
         self.order_count = 0
         self.has_crashed = False
         self.event_count = 5
         self.event_pause_s = 0.02
-        self.cut_after = None
-        # A request with this body ends the engine soon after it begins.
-        self.deadly_body = None
+        self.abort_after_event = None
+        # A request with this body crashes the engine soon after it starts.
+        self.crash_body = None
         self.crash_count = 0
         self.is_down = False
         self.on_crash = None
         self._transports = set()
 
     def restart(self, name):
-        """Come back empty, as another incarnation."""
+        """Restart without adapters, as another incarnation."""
         self.name = name
         self.adapters.clear()
         self.pending.clear()
         self.order_count = 0
 
     def crash(self):
-        """Cut all that is open, and answer nothing until it is up again."""
+        """Abort all open connections; answer nothing until it is up again."""
         self.crash_count += 1
         self.is_down = True
         for transport in list(self._transports):
@@ -262,7 +262,7 @@
             adapter and adapter not in self.adapters
         ):
             return web.Response(status=421, headers={'Not-Executed': '1'})
-        if self.deadly_body is not None and body == self.deadly_body:
+        if self.crash_body is not None and body == self.crash_body:
             asyncio.get_running_loop().call_later(0.05, self.crash)
             await asyncio.sleep(1.0)
         return await self._stream(request)
@@ -271,7 +271,7 @@
         request_id = request.headers['Request-Id']
         self.runs.append(request_id)
         self.ran.append(request_id)
-        self.identified.append(_identified(request))
+        self.run_log.append(_run_entry(request))
         try:
             response = web.StreamResponse(
                 headers={
@@ -284,29 +284,29 @@
             first = int(request.headers.get('Last-Event-Id', 0)) + 1
             for number in range(first, self.event_count + 1):
                 await response.write(b'id: %d\ndata: x\n\n' % number)
-                if number == self.cut_after:
-                    self.cut_after = None
+                if number == self.abort_after_event:
+                    self.abort_after_event = None
                     request.transport.abort()
                     return response
                 await asyncio.sleep(self.event_pause_s)
             await response.write_eof()
             return response
         except ConnectionResetError:
-            # The caller has left, which ends the run.
+            # The caller has disconnected, which ends the run.
             return response
         finally:
             self.runs.remove(request_id)
 
 
 class Service:
-    """A plain service that counts what it runs."""
+    """A plain service that records the requests that it runs."""
 
     def __init__(self, name):
         self.name = name
         self.runs = []
-        self.identified = []
+        self.run_log = []
         self.delay_s = 0.0
-        self.cuts = 0
+        self.aborts_left = 0
 
     def routes(self):
         return [web.route('*', '/{path:.*}', self._run)]
@@ -324,9 +324,9 @@
     async def _run(self, request):
         body = await request.read()
         self.runs.append(request.headers['Request-Id'])
-        self.identified.append(_identified(request))
-        if self.cuts:
-            self.cuts -= 1
+        self.run_log.append(_run_entry(request))
+        if self.aborts_left:
+            self.aborts_left -= 1
             request.transport.abort()
             return web.Response()
         await asyncio.sleep(self.delay_s)
@@ -339,7 +339,7 @@
         )
 
 
-def _identified(request):
+def _run_entry(request):
     headers = dict(request.headers)
     return headers['Request-Id'], time.monotonic(), headers
 
@@ -389,7 +389,7 @@
 
 
 def fields_of(role, ip, ports, store, seeds=()):
-    """Return the fields of a settings file, as the platform names them."""
+    """Return the fields of a settings file under the platform's names."""
     listen = {}
     if role == 'entry':
         listen = {
@@ -422,7 +422,7 @@
 
 
 def render(fields):
-    """Fill in the settings template as the platform does."""
+    """Render the settings template as the platform does."""
     text = (processes.ROOT / 'deploy' / 'settings.json').read_text()
     section = re.compile(r'\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}', re.S)
     text = section.sub(lambda m: m[2] if _value(fields, m[1]) else '', text)
@@ -445,7 +445,7 @@
 
 
 def commands():
-    """Return the programs of the deploy file, by role."""
+    """Return the arguments of the programs in the deploy file, by role."""
     text = (processes.ROOT / 'deploy' / 'system.toml').read_text()
     roles = tomllib.loads(text)['roles']
     return {name: role['run'].split()[1:] for name, role in roles.items()}
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -121,7 +121,7 @@
         identified = [
             run
             for server in (*self.platform.engines, *self.platform.services)
-            for run in server.identified
+            for run in server.run_log
         ]
         self.broken += list(soak_keys.check(self.calls, identified))[:5]
         if self.broken:
@@ -162,15 +162,15 @@
         self.newest_path = f'/v{version}/x'
 
     async def store_goes_back(self, for_s):
-        """Lose what was written since a copy, and write it again."""
+        """Lose what was written since a backup, and write it again."""
         store = self.platform.store
-        copy = store.copy()
+        backup = store.backup()
         await asyncio.sleep(for_s)
         store.is_down = True
         await asyncio.sleep(for_s / 4)
         store.is_down = False
         accepted = dict(store.items)
-        await store.go_back(copy)
+        await store.restore(backup)
         await asyncio.sleep(for_s / 4)
         for key in sorted(accepted.keys() | store.items.keys()):
             # What was written since is newer.
@@ -241,7 +241,7 @@
     async def _call_on(self, number):
         """Call on open connections, for as long as they serve."""
         source = random.Random(number)
-        entry = number % len(self.platform.callers_of)
+        entry = number % len(self.platform.caller_urls)
         while not self._is_ending:
             connector = aiohttp.TCPConnector(limit=1)
             async with aiohttp.ClientSession(connector=connector) as session:
@@ -249,7 +249,7 @@
                 while is_open and not self._is_ending:
                     is_open = await self._call(session, source, entry)
                     await asyncio.sleep(source.uniform(0.0, _PAUSE_S))
-            entry = (entry + 1) % len(self.platform.callers_of)
+            entry = (entry + 1) % len(self.platform.caller_urls)
 
     async def _call(self, session, source, entry):
         """Send one request; return whether its connection may go on."""
@@ -266,7 +266,7 @@
             adapter = source.randrange(ADAPTERS)
             headers['Model'] = f'{standin.MODEL}/a{adapter}'
         method = 'GET' if kind == 'lookup' else 'POST'
-        url = f'{self.platform.callers_of[entry]}/{kind}/x'
+        url = f'{self.platform.caller_urls[entry]}/{kind}/x'
         try:
             async with asyncio.timeout(_TIMEOUT_S):
                 async with session.request(
@@ -308,7 +308,7 @@
     async def _check_configuration(self):
         await self.publish()
         await asyncio.sleep(2.5)
-        for url in self.platform.callers_of:
+        for url in self.platform.caller_urls:
             async with self.platform.session.get(
                 f'{url}{self.newest_path}',
                 headers={
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -142,12 +142,12 @@
 
 async def torn_stream(scene, target, for_s):
     """An engine breaks its next stream off."""
-    scene.platform.engines[int(target)].cut_after = 2
+    scene.platform.engines[int(target)].abort_after_event = 2
 
 
 async def lost_answer(scene, target, for_s):
     """A service runs a request, and its answer is lost."""
-    scene.platform.services[int(target)].cuts += 1
+    scene.platform.services[int(target)].aborts_left += 1
 
 
 # With what each kind is done to: a link, a process, an engine, a service.
--- a/tests/test_platform_crashes.py
+++ b/tests/test_platform_crashes.py
@@ -28,7 +28,7 @@
         self.served = []
         self._tasks = set()
         for engine in platform.engines:
-            engine.deadly_body = DEADLY
+            engine.crash_body = DEADLY
             engine.on_crash = self._crashed
 
     def _crashed(self, engine):
@@ -48,7 +48,7 @@
         await store.delete(f'servers/{before}')
 
     async def call(self, number, name, body):
-        callers = self.platform.callers_of[number % 2]
+        callers = self.platform.caller_urls[number % 2]
         headers = {
             'Host': 'h.example',
             'Request-Id': name,
--- a/tests/test_platform_outage.py
+++ b/tests/test_platform_outage.py
@@ -1,4 +1,4 @@
-"""The list of backend servers around a store that was out of reach."""
+"""The list of backend servers during and after an outage of the store."""
 
 import asyncio
 import random
@@ -18,10 +18,10 @@
 Promise = fault_matrix.Promise
 Step = fault_matrix.Step
 
-# Instances count as in touch again this long after the store is back, and
-# are bound by what they could have known then.
+# Instances count as connected this long after the store has recovered, and
+# must act on everything that they could have read by then.
 CONTACT_S = 3.0
-SILENCE_S = 0.8
+READ_TIMEOUT_S = 0.8
 SEEDS = 30
 
 
@@ -31,16 +31,16 @@
 
 
 class FlakyStore:
-    """A store that answers nothing at times."""
+    """A store that is down for a time; it then refuses or does not answer."""
 
     def __init__(self, clock):
         self._clock = clock
-        self.silent_from_s = float('inf')
-        self.silent_until_s = float('inf')
+        self.down_from_s = float('inf')
+        self.down_until_s = float('inf')
         self.refuses = False
-        # Every other one, as the platform may.
-        self.cuts_watches = False
-        self._has_cut = False
+        # Aborts every second watch, as the platform may.
+        self.aborts_watches = False
+        self._has_aborted = False
         self.epoch = 1
         self.items = {'i-1': entry('i-1', 1), 'i-2': entry('i-2', 2)}
         self.revision = 1
@@ -65,24 +65,24 @@
             await asyncio.sleep(0.1)
             if after < self.revision:
                 raise store_module._HistoryGoneError('gone')
-            if self.cuts_watches and not self._has_cut:
-                self._has_cut = True
+            if self.aborts_watches and not self._has_aborted:
+                self._has_aborted = True
                 raise errors.PlatformError('cut')
-        self._has_cut = False
+        self._has_aborted = False
         await self._answer()
         return self.revision, ()
 
     async def _answer(self):
         now_s = self._clock.monotonic_s()
-        if self.silent_from_s <= now_s < self.silent_until_s:
+        if self.down_from_s <= now_s < self.down_until_s:
             if not self.refuses:
-                await asyncio.sleep(SILENCE_S)
+                await asyncio.sleep(READ_TIMEOUT_S)
             raise errors.PlatformError('no answer')
         await asyncio.sleep(0.004)
 
 
 class Scene:
-    """One entry that follows the list."""
+    """One entry that watches the list."""
 
     def __init__(self, seed):
         self.clock = virtual_time.LoopClock()
@@ -108,29 +108,27 @@
         return {s.name for s in self.servers.serving(standin.SERVICE)}
 
 
-class TestOutOfReach:
+class TestOutage:
     @pytest.mark.proves(Promise.LEAVING, Fault.CONFIG_DOWN, Step.ANY)
-    def test_a_server_that_left_meanwhile_is_dropped_before_contact_counts(
-        self,
-    ):
+    def test_a_server_that_left_during_it_is_dropped_in_time(self):
         """Guards against requests to a server that left in an outage."""
 
         async def play(seed):
             scene = Scene(seed)
             store = scene.store
             store.refuses = bool(seed % 2)
-            store.silent_from_s = 1.0
-            store.silent_until_s = 11.0 + random.Random(seed).random()
+            store.down_from_s = 1.0
+            store.down_until_s = 11.0 + random.Random(seed).random()
             await asyncio.sleep(5.0)
             store.change('i-1')
-            await scene.sleep_until(store.silent_until_s + CONTACT_S)
+            await scene.sleep_until(store.down_until_s + CONTACT_S)
             return scene.end()
 
-        assert kept_too_long(play) == []
+        assert seeds_still_in_use(play) == []
 
     @pytest.mark.proves(Promise.LEAVING, Fault.TWO_FAULTS, Step.ANY)
     def test_a_server_that_left_before_it_stays_gone(self):
-        """Guards against a server brought back by a later outage."""
+        """Guards against an outage that brings a server back."""
 
         async def play(seed):
             scene = Scene(seed)
@@ -139,41 +137,45 @@
             store.change('i-1')
             await asyncio.sleep(1.8)
             assert scene.names() == {'i-2'}
-            store.silent_from_s = scene.clock.monotonic_s()
+            store.down_from_s = scene.clock.monotonic_s()
             await asyncio.sleep(0.1 * seed)
             return scene.end()
 
-        assert kept_too_long(play) == []
+        assert seeds_still_in_use(play) == []
 
-    def test_watches_that_are_cut_afterwards_do_not_keep_it(self):
-        """Guards against a server kept for as long as watches break."""
+    def test_aborted_watches_afterwards_do_not_delay_the_removal(self):
+        """Guards against keeping a server for as long as watches fail."""
 
         async def play(seed):
             scene = Scene(seed)
             store = scene.store
-            store.silent_from_s = 1.0
-            store.silent_until_s = 9.0
+            store.down_from_s = 1.0
+            store.down_until_s = 9.0
             await asyncio.sleep(5.0)
             store.change('i-1')
-            store.cuts_watches = True
-            await scene.sleep_until(store.silent_until_s + CONTACT_S)
+            store.aborts_watches = True
+            await scene.sleep_until(store.down_until_s + CONTACT_S)
             return scene.end()
 
-        assert kept_too_long(play) == []
+        assert seeds_still_in_use(play) == []
 
-    def test_servers_whose_entries_lapsed_are_used_until_they_are_back(self):
-        """Guards against a service without servers after an outage."""
+    def test_servers_with_expired_entries_stay_in_use(self):
+        """Guards against a service without servers after an outage.
+
+        Servers could not renew their entries during the outage; they stay
+        in use until they have registered again.
+        """
 
         async def play(seed):
             scene = Scene(seed)
             store = scene.store
             store.refuses = bool(seed % 2)
-            store.silent_from_s = 1.0
-            store.silent_until_s = 9.0 + random.Random(seed).random()
+            store.down_from_s = 1.0
+            store.down_until_s = 9.0 + random.Random(seed).random()
             await asyncio.sleep(5.0)
             store.change('i-1')
             store.change('i-2')
-            await scene.sleep_until(store.silent_until_s)
+            await scene.sleep_until(store.down_until_s)
             missing_s = 0.0
             for name, port in (('i-1', 1), ('i-2', 2)):
                 for _ in range(12):
@@ -188,8 +190,8 @@
         assert max(missing_s) == 0.0
 
 
-def kept_too_long(play):
-    """Return the seeds by which the server that left is in use still."""
+def seeds_still_in_use(play):
+    """Return the seeds with which the removed server is still in use."""
     return [
         seed
         for seed in range(SEEDS)
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""The programs of the deploy file, as real processes on a stand-in."""
+"""The programs of the deploy file as processes, with a stand-in platform."""
 
 import asyncio
 import signal
@@ -30,8 +30,8 @@
 
 
 class TestStart:
-    def test_a_reload_signal_is_ignored_before_modules_are_read(self):
-        """Guards against a process that ends by itself as it starts."""
+    def test_a_reload_signal_is_ignored_before_modules_are_imported(self):
+        """Guards against SIGHUP ending a process while it starts."""
         found = subprocess.run(
             [sys.executable, '-c', REPORT_AT_START],
             cwd=processes.ROOT,
@@ -43,7 +43,7 @@
 
 
 class TestServing:
-    async def test_streams_services_and_refusals(self, platform):
+    async def test_serves_streams_and_services_and_refuses(self, platform):
         async with platform.call(
             '/chat/x?a=%2f',
             'r-1',
@@ -66,14 +66,15 @@
         async with platform.call('/nowhere/1', 'r-3') as response:
             assert response.status == 404
 
-    async def test_a_stream_goes_on_at_the_other_engine(self, platform):
-        """Half an answer arrives, and then nothing.
+    async def test_a_stream_is_resumed_at_the_other_engine(self, platform):
+        """Guards against an answer that ends after its first half.
 
-        An engine resets in the middle of a stream that may be resumed.
+        An engine resets the connection in the middle of a stream that may
+        be resumed.
         """
         for engine in platform.engines:
-            engine.cut_after = 2
-        platform.engines[0].cut_after = 2
+            engine.abort_after_event = 2
+        platform.engines[0].abort_after_event = 2
         async with platform.call(
             '/chat/x', 'r-1', Model=f'{standin.MODEL}/a7'
         ) as response:
@@ -81,32 +82,34 @@
             other = next(
                 e for e in platform.engines if f'signed-by-{e.name}' != first
             )
-            other.cut_after = None
+            other.abort_after_event = None
             body = await response.read()
         numbers = [int(n) for n in body.split() if n.isdigit()]
         assert numbers == [1, 2, 3, 4, 5]
 
-    async def test_what_may_not_be_resumed_ends_visibly(self, platform):
+    async def test_a_stream_that_is_not_resumable_ends_with_an_error(
+        self, platform
+    ):
         for engine in platform.engines:
-            engine.cut_after = 2
+            engine.abort_after_event = 2
         with pytest.raises(aiohttp.ClientPayloadError):
             async with platform.call(
                 '/draft/x', 'r-1', Model=f'{standin.MODEL}/a7'
             ) as response:
                 await response.read()
 
-    async def test_a_command_whose_answer_is_lost_runs_once(self, platform):
+    async def test_a_command_with_a_lost_answer_runs_only_once(self, platform):
         for service in platform.services:
-            service.cuts = 1
+            service.aborts_left = 1
         async with platform.call('/command/1', 'r-1') as response:
             assert response.status not in (408, 421, 429, 503)
         assert sum(len(s.runs) for s in platform.services) == 1
 
-    async def test_a_lookup_whose_answer_is_lost_runs_again(self, platform):
+    async def test_a_lookup_with_a_lost_answer_is_retried(self, platform):
         for service in platform.services:
-            service.cuts = 1
-        platform.services[0].cuts = 1
-        platform.services[1].cuts = 0
+            service.aborts_left = 1
+        platform.services[0].aborts_left = 1
+        platform.services[1].aborts_left = 0
         for number in range(4):
             async with platform.call(
                 '/lookup/1', f'r-{number}', 'GET'
@@ -128,7 +131,7 @@
         assert set(statuses) <= {200, 503}
         assert not any(e.has_crashed for e in platform.engines)
 
-    async def test_a_callers_leaving_reaches_the_engine(self, platform):
+    async def test_a_disconnected_caller_ends_the_run(self, platform):
         for engine in platform.engines:
             engine.event_pause_s = 5.0
         response = await platform.call(
@@ -141,7 +144,7 @@
 
 
 class TestMetrics:
-    async def test_tell_what_was_served(self, platform):
+    async def test_show_served_requests(self, platform):
         async with platform.call(
             '/chat/x', 'r-1', Model=f'{standin.MODEL}/a7'
         ) as response:
@@ -154,7 +157,7 @@
 
 
 class TestConfiguration:
-    async def test_a_new_version_is_in_force(self, platform):
+    async def test_a_new_version_comes_into_force(self, platform):
         changed = standin.configuration(8, lookup={'pathPrefix': '/moved/'})
         await platform.store.put('op/config', changed)
 
@@ -167,11 +170,11 @@
         async with platform.call('/lookup/1', 'r-2', 'GET') as response:
             assert response.status == 404
 
-    async def test_history_that_is_gone_is_read_anew(self, platform):
-        """A route that was added is refused for good.
+    async def test_everything_is_read_again_after_lost_history(self, platform):
+        """Guards against refusing a new route forever.
 
-        The store drops its history while a change is made, so that the
-        watch can't tell of it.
+        The store drops its history while a change is made, so that no
+        watch can report the change.
         """
         platform.store.is_down = True
         await asyncio.sleep(0.2)
@@ -186,23 +189,23 @@
 
         await platform.until(is_moved)
 
-    async def test_without_the_store_unknown_routes_are_not_denied(
+    async def test_without_the_store_unknown_routes_may_be_retried(
         self, platform
     ):
         platform.store.is_down = True
         await platform.store.put('other/x', 1)
 
-        async def is_away():
+        async def may_be_retried():
             async with platform.call('/new/1', 'r-1', 'GET') as response:
                 return response.status == 503
 
-        await platform.until(is_away)
+        await platform.until(may_be_retried)
         async with platform.call('/lookup/1', 'r-2', 'GET') as response:
             assert response.status == 200
 
 
 class TestLeaving:
-    async def test_a_server_that_drains_gets_nothing_more(self, platform):
+    async def test_a_draining_server_gets_no_more_requests(self, platform):
         first, other = platform.services
         entry = first.entry('127.0.0.1:1', state='draining')
         await platform.store.put(f'servers/{first.name}', entry)
@@ -213,10 +216,10 @@
                 assert r.status == 200
         assert len(first.runs) == before
 
-    async def test_a_signal_to_end_cuts_nothing(self, platform):
-        """An answer stops in the middle while an instance is replaced.
+    async def test_sigterm_does_not_abort_a_stream(self, platform):
+        """Guards against truncated answers when an instance is replaced.
 
-        The entry gets SIGTERM with a stream under way.
+        The entry gets SIGTERM while a stream is in progress.
         """
         for engine in platform.engines:
             engine.event_pause_s = 0.3
@@ -231,7 +234,7 @@
         async with asyncio.timeout(START_S):
             assert await platform.entry.process.wait() == 0
 
-    async def test_a_reload_cuts_nothing(self, platform):
+    async def test_a_reload_does_not_abort_a_stream(self, platform):
         for engine in platform.engines:
             engine.event_pause_s = 0.2
         response = await platform.call(
@@ -245,15 +248,17 @@
         )
 
 
-class TestStoreAway:
-    async def test_an_entry_that_restarts_learns_from_another(self, tmp_path):
-        """An entry that restarts refuses all until the store is back.
+class TestStoreDown:
+    async def test_a_restarted_entry_gets_its_state_from_a_peer(
+        self, tmp_path
+    ):
+        """Guards against a restarted entry that refuses every request.
 
-        The store is down; the other entry serves with what it knows.
+        The store is down; another entry has the published state.
         """
         async with platform_processes.Platform(tmp_path, 2) as platform:
             first, second = platform.entries
-            # The other has read the store before it is lost.
+            # The other entry must have read the store before the outage.
             await platform.until(
                 lambda: second.events('backend server listed')
             )
@@ -272,9 +277,11 @@
                 assert response.status == 503
 
 
-class TestSidecarLost:
-    async def test_its_engine_serves_on_what_it_holds(self, platform):
-        """Answers stop although every engine works.
+class TestSidecarKilled:
+    async def test_its_engine_still_serves_the_adapters_it_holds(
+        self, platform
+    ):
+        """Guards against refusing requests although every engine works.
 
         All sidecars are killed at once.
         """
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -109,7 +109,7 @@
         call = judge.begin('lookup', 0, key)
         call.status = 200
         at_s = call.sent_at_s if at_s is None else at_s
-        judge.platform.services[0].identified.append((call.id, at_s, headers))
+        judge.platform.services[0].run_log.append((call.id, at_s, headers))
         return call
 
     def test_a_run_for_its_organisation_is_well(self, judge):
--- a/tests/test_store_epoch.py
+++ b/tests/test_store_epoch.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy some seconds old."""
+"""A store that is restored from a backup some seconds old."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class Scene:
-    """One process that follows the stand-in's store."""
+    """One process that watches the store of the stand-in."""
 
     def __init__(self, store, reader):
         self.store = store
@@ -101,21 +101,21 @@
 
 class TestHistory:
     async def test_a_change_below_a_known_revision_is_not_missed(self, scene):
-        """Guards against revisions that are given out again."""
-        copy = scene.store.copy()
+        """Guards against revisions that the restored store uses again."""
+        backup = scene.store.backup()
         for _ in range(4):
             await scene.list('i-3')
         await scene.until(lambda: 'i-3' in scene.names())
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         await scene.list('i-4')
         for _ in range(8):
             await scene.list('i-3')
         await scene.until(lambda: 'i-4' in scene.names())
 
-    async def test_an_answer_of_an_earlier_epoch_is_dropped(self, scene):
-        """Guards against an answer that was held on its way."""
-        copy = scene.store.copy()
-        await scene.store.go_back(copy)
+    async def test_a_response_from_an_earlier_epoch_is_dropped(self, scene):
+        """Guards against a response that was delayed in transit."""
+        backup = scene.store.backup()
+        await scene.store.restore(backup)
         await scene.list('i-3')
         await scene.until(lambda: 'i-3' in scene.names())
         scene.store.epoch -= 1
@@ -125,41 +125,39 @@
         scene.store.epoch += 1
         await scene.until(lambda: 'i-4' in scene.names())
 
-    async def test_pages_of_two_epochs_are_no_list(self, scene):
-        """Guards against a list whose first half is of an older history."""
+    async def test_pages_from_two_epochs_are_not_combined(self, scene):
+        """Guards against a list whose first half predates the restore."""
         for name in ('i-3', 'i-4', 'i-5'):
             await scene.list(name)
-        copy = scene.store.copy()
+        backup = scene.store.backup()
         answer_range = scene.store._range
         went_back = []
 
-        async def go_back_once(request):
+        async def restore_once(request):
             response = await answer_range(request)
             if request.query.get('after') and not went_back:
                 went_back.append(True)
                 await scene.list('i-6')
-                await scene.store.go_back(copy)
+                await scene.store.restore(backup)
             return response
 
-        scene.store._range = go_back_once
+        scene.store._range = restore_once
         await scene.until(lambda: not went_back)
         with pytest.raises(errors.PlatformError):
             await scene.reader.read_all('')
         _, items = await scene.reader.read_all('')
         assert {item.key for item in items} == set(scene.store.items)
 
-    async def test_a_watch_that_ends_in_another_epoch_tells_nothing(
-        self, scene
-    ):
+    async def test_changes_from_another_epoch_are_not_applied(self, scene):
         """Guards against changes of a new history on top of the old one."""
-        copy = scene.store.copy()
+        backup = scene.store.backup()
         await scene.unlist('i-1')
         await scene.until(lambda: scene.names() == {'i-2'})
         found = []
         with scene.watcher.changes.subscribe(
             lambda _change: found.append(scene.names())
         ):
-            await scene.store.go_back(copy)
+            await scene.store.restore(backup)
             scene.store.oldest = 0
             for _ in range(5):
                 await scene.list('i-1')
@@ -170,41 +168,47 @@
 
 class TestServers:
     @pytest.mark.proves(Promise.LEAVING, Fault.CONFIG_STALE, Step.ANY)
-    async def test_one_that_left_is_not_used_again(self, scene):
-        """Guards against requests to a server that a copy lists again."""
-        copy = scene.store.copy()
+    async def test_a_server_that_left_is_not_used_again(self, scene):
+        """Guards against requests to a server that the backup still lists."""
+        backup = scene.store.backup()
         await scene.unlist('i-1')
         await scene.until(lambda: scene.names() == {'i-2'})
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         for _ in range(7):
             assert scene.names() == {'i-2'}
             await asyncio.sleep(0.1)
 
-    async def test_one_that_leaves_stays_leaving(self, scene):
-        """Guards against requests to a server that said that it leaves."""
-        copy = scene.store.copy()
+    async def test_a_leaving_server_stays_leaving(self, scene):
+        """Guards against requests to a server that is leaving.
+
+        The backup still lists it as ready.
+        """
+        backup = scene.store.backup()
         await scene.list('i-1', state='draining')
         await scene.until(lambda: scene.names() == {'i-2'})
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         for _ in range(7):
             assert scene.names() == {'i-2'}
             await asyncio.sleep(0.1)
 
-    async def test_one_of_a_new_start_is_used(self, scene):
-        copy = scene.store.copy()
+    async def test_a_restarted_server_is_used(self, scene):
+        backup = scene.store.backup()
         await scene.list('i-1', state='draining')
         await scene.until(lambda: scene.names() == {'i-2'})
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         entry = standin.Engine('i-1').entry('10.0.0.7:1') | {'born': 7}
         await scene.store.put('servers/i-1', entry)
         await scene.until(lambda: scene.names() == {'i-1', 'i-2'})
 
-    async def test_one_that_a_copy_lacks_is_used_until_it_is_back(self, scene):
-        """Guards against requests refused although a server works."""
-        copy = scene.store.copy()
+    async def test_a_server_missing_in_the_backup_stays_in_use(self, scene):
+        """Guards against refusing requests although a server works.
+
+        It stays in use until it has registered again.
+        """
+        backup = scene.store.backup()
         await scene.list('i-3')
         await scene.until(lambda: 'i-3' in scene.names())
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         for _ in range(12):
             assert 'i-3' in scene.names()
             await asyncio.sleep(0.1)
@@ -212,15 +216,15 @@
         await asyncio.sleep(1.8)
         assert scene.names() == {'i-1', 'i-2', 'i-3'}
 
-    async def test_one_that_a_later_copy_has_again_is_used(self, scene):
-        """Guards against a server that works, taken for one that left."""
-        copy = scene.store.copy()
+    async def test_a_server_listed_by_a_later_backup_is_used(self, scene):
+        """Guards against taking a working server for one that has left."""
+        backup = scene.store.backup()
         await scene.list('i-3')
-        later_copy = scene.store.copy()
+        later_backup = scene.store.backup()
         await scene.until(lambda: 'i-3' in scene.names())
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         await scene.until(lambda: scene.servers.get('i-3') is None)
-        await scene.store.go_back(later_copy)
+        await scene.store.restore(later_backup)
         await scene.until(lambda: scene.servers.get('i-3') is not None)
         for _ in range(30):
             assert 'i-3' in scene.names()
@@ -228,25 +232,27 @@
 
 
 class TestConfiguration:
-    async def test_it_does_not_revert(self, scene):
-        copy = scene.store.copy()
+    async def test_the_configuration_does_not_revert(self, scene):
+        backup = scene.store.backup()
         await scene.configure(6)
         await scene.until(lambda: scene.table.version == 6)
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         await scene.settle()
         assert scene.table.version == 6
 
     @pytest.mark.proves(
         Promise.KEYS, Fault.CONFIG_STALE, Step.BEFORE_ADMISSION
     )
-    async def test_a_copy_proves_nothing_of_what_it_lacks(self, scene):
-        """Guards against trust in API keys on the word of an old copy."""
-        copy = scene.store.copy()
+    async def test_a_backup_does_not_confirm_a_newer_configuration(
+        self, scene
+    ):
+        """Guards against accepting API keys because of an old backup."""
+        backup = scene.store.backup()
         await scene.configure(6)
         await scene.until(lambda: scene.table.version == 6)
         await scene.settle()
         assert scene.age.age_s < 0.6
-        await scene.store.go_back(copy)
+        await scene.store.restore(backup)
         await asyncio.sleep(1.0)
         assert scene.age.age_s > 0.9
         await scene.configure(6)
--- a/tests/test_store_epoch_interleavings.py
+++ b/tests/test_store_epoch_interleavings.py
@@ -1,4 +1,4 @@
-"""Writes, returns to a copy, reads and time, in any order."""
+"""Writes, restores from backups, reads and time, in any order."""
 
 import asyncio
 import random
@@ -19,8 +19,8 @@
 from tests.test_platform_store_updates import item
 
 KNOWN_WITHIN_S = 4.0
-# Longer than the list may lag behind the store while that works.
-SEEN_WITHIN_S = 2.2
+# Above the longest lag of the list behind a working store.
+LIST_LAG_S = 2.2
 
 
 def decode(content):
@@ -28,7 +28,7 @@
 
 
 class MemoryStore:
-    """A store in memory that goes back to copies."""
+    """An in-memory store that can be restored from backups."""
 
     def __init__(self):
         self.epoch = 1
@@ -50,11 +50,11 @@
             self.items[key] = found
         self.changes.append((self.revision, found))
 
-    def copy(self):
+    def backup(self):
         return self.revision, dict(self.items)
 
-    def go_back(self, copy):
-        self.revision, items = copy
+    def restore(self, backup):
+        self.revision, items = backup
         self.items = dict(items)
         self.changes.clear()
         self.oldest = self.revision
@@ -62,7 +62,7 @@
 
 
 class Reader:
-    """What a follower sees of it."""
+    """The client of `MemoryStore` that a watcher uses."""
 
     def __init__(self, store):
         self._store = store
@@ -97,7 +97,7 @@
 
 
 class Scene:
-    """One process, the store, and what was accepted."""
+    """One process, the store, and the accepted writes."""
 
     def __init__(self, seed):
         clock = virtual_time.LoopClock()
@@ -120,16 +120,16 @@
         self.task = asyncio.create_task(
             store_updates.dispatch_changes(watcher, handlers)
         )
-        self.copies = [self.store.copy()]
-        self.next_name = 0
+        self.backups = [self.store.backup()]
+        self.next_number = 0
         self.version = 0
-        # By name: whether it leaves.  What is not here has left.
-        self.truth = {}
-        self.seen_leaving = set()
-        self.seen_version = 0
+        # By server name, whether it is leaving; a missing one has left.
+        self.expected_leaving = {}
+        self.known_gone = set()
+        self.known_version = 0
 
     def entry(self, name):
-        state = 'draining' if self.truth[name] else 'ready'
+        state = 'draining' if self.expected_leaving[name] else 'ready'
         found = standin.Engine(name).entry(
             f'10.0.0.7:{1 + int(name[2:])}', state=state
         )
@@ -140,31 +140,31 @@
             key='op/config', value=b'%d' % self.version, revision=1
         )
 
-    def step(self, kind, number):
-        names = sorted(self.truth)
+    def apply_write(self, kind, number):
+        names = sorted(self.expected_leaving)
         if kind == 'list':
-            name = f'i-{self.next_name}'
-            self.next_name += 1
-            self.truth[name] = False
+            name = f'i-{self.next_number}'
+            self.next_number += 1
+            self.expected_leaving[name] = False
             self.store.write(f'servers/{name}', self.entry(name))
         elif kind == 'drain' and names:
             name = names[number % len(names)]
-            self.truth[name] = True
+            self.expected_leaving[name] = True
             self.store.write(f'servers/{name}', self.entry(name))
         elif kind == 'remove' and names:
             name = names[number % len(names)]
-            del self.truth[name]
+            del self.expected_leaving[name]
             self.store.write(f'servers/{name}', None)
         elif kind == 'configure':
             self.version += 1
             self.store.write('op/config', self.configuration())
 
     def write_again(self, seed):
-        names = [f'servers/i-{number}' for number in range(self.next_name)]
+        names = [f'servers/i-{number}' for number in range(self.next_number)]
         random.Random(seed).shuffle(names)
         for key in names:
             name = key.removeprefix('servers/')
-            found = self.entry(name) if name in self.truth else None
+            found = self.entry(name) if name in self.expected_leaving else None
             self.store.write(key, found)
         if self.version:
             self.store.write('op/config', self.configuration())
@@ -172,17 +172,24 @@
     def names(self):
         return {s.name for s in self.servers.serving(standin.SERVICE)}
 
-    def look(self):
-        """Take note of what the process has seen; check that it stays."""
-        assert not self.names() & self.seen_leaving
-        assert self.table.version >= self.seen_version
-        self.seen_version = self.table.version
+    def check(self):
+        """Check that the state of the process has not reverted."""
+        assert not self.names() & self.known_gone
+        assert self.table.version >= self.known_version
+        self.known_version = self.table.version
 
-    def settle(self):
-        """What has been in a readable store for long was seen."""
-        gone = {f'i-{number}' for number in range(self.next_name)}
-        gone -= {name for name, leaves in self.truth.items() if not leaves}
-        self.seen_leaving |= gone
+    def record_known(self):
+        """Record what the process must know by now.
+
+        The store was readable for long enough.
+        """
+        gone = {f'i-{number}' for number in range(self.next_number)}
+        gone -= {
+            name
+            for name, leaves in self.expected_leaving.items()
+            if not leaves
+        }
+        self.known_gone |= gone
 
 
 WRITES = strategies.lists(
@@ -196,7 +203,7 @@
 
 @strategies.composite
 def episodes(draw):
-    """Draw what happens around one return to a copy."""
+    """Draw the events around one restore of the store."""
     return {
         'before': draw(WRITES),
         'after': draw(WRITES),
@@ -211,42 +218,42 @@
 
 async def play_episode(scene, episode):
     for kind, number in episode['before']:
-        scene.step(kind, number)
-    scene.copies.append(scene.store.copy())
+        scene.apply_write(kind, number)
+    scene.backups.append(scene.store.backup())
     for kind, number in episode['after']:
-        scene.step(kind, number)
+        scene.apply_write(kind, number)
     if episode['is_settled']:
         await asyncio.sleep(KNOWN_WITHIN_S)
-        scene.settle()
-        scene.look()
+        scene.record_known()
+        scene.check()
     scene.store.is_down = episode['is_down']
     await asyncio.sleep(0.1 * episode['order'] / 20)
-    scene.store.go_back(scene.copies[-1 - episode['copy']])
+    scene.store.restore(scene.backups[-1 - episode['copy']])
     scene.store.is_down = False
     for kind, number in episode['later']:
-        scene.step(kind, number)
+        scene.apply_write(kind, number)
     for _ in range(episode['steps']):
         await asyncio.sleep(0.1)
-        scene.look()
+        scene.check()
     scene.write_again(episode['order'])
     for _ in range(10):
         await asyncio.sleep(0.1)
-        scene.look()
+        scene.check()
 
 
 async def play(found, seed):
     scene = Scene(seed)
     for _ in range(3):
-        scene.step('list', 0)
-        scene.copies.append(scene.store.copy())
-    await asyncio.sleep(SEEN_WITHIN_S)
+        scene.apply_write('list', 0)
+        scene.backups.append(scene.store.backup())
+    await asyncio.sleep(LIST_LAG_S)
     for episode in found:
         await play_episode(scene, episode)
     await asyncio.sleep(KNOWN_WITHIN_S)
-    scene.settle()
-    scene.look()
+    scene.record_known()
+    scene.check()
     assert scene.names() == {
-        n for n, leaves in scene.truth.items() if not leaves
+        n for n, leaves in scene.expected_leaving.items() if not leaves
     }
     assert scene.table.version == scene.version
     scene.task.cancel()
@@ -257,6 +264,9 @@
     @hypothesis.given(
         strategies.lists(episodes(), max_size=3), strategies.integers(0, 3)
     )
-    def test_nothing_reverts_and_all_is_known_again(self, found, seed):
-        """Guards against what a copy lacks, lost or brought back for good."""
+    def test_nothing_reverts_and_everything_is_known_again(self, found, seed):
+        """Guards against writes that a backup lacks.
+
+        They must neither be lost for good nor be undone.
+        """
         virtual_time.run(play(found, seed))
