--- a/lacewingpitch/configuration_exchange.py
+++ b/lacewingpitch/configuration_exchange.py
@@ -22,7 +22,7 @@
 class PeerLink(Protocol):
     """Sends messages about the configuration to sidecars."""
 
-    async def ask_configuration(
+    async def request_configuration(
         self,
         ip: str,
         message: turn_messages.ConfigurationRequest,
@@ -162,7 +162,7 @@
             above_version=self._table.version
         )
         try:
-            reply = await self._link.ask_configuration(
+            reply = await self._link.request_configuration(
                 ip, message, _REQUEST_TIMEOUT_S
             )
             if reply.content:
--- a/lacewingpitch/control_client.py
+++ b/lacewingpitch/control_client.py
@@ -40,7 +40,7 @@
             message, turn_messages.TurnEndsReply, timeout_s
         )
 
-    async def ask_configuration(
+    async def request_configuration(
         self,
         ip: str,
         message: turn_messages.ConfigurationRequest,
@@ -70,7 +70,7 @@
             message, usage_lease.UsageReply, timeout_s
         )
 
-    async def ask_state(
+    async def request_state(
         self,
         entry: settings.Address,
         message: peer_bootstrap.StateRequest,
--- a/lacewingpitch/peer_bootstrap.py
+++ b/lacewingpitch/peer_bootstrap.py
@@ -64,7 +64,7 @@
 class StateLink(Protocol):
     """Sends state requests to other processes."""
 
-    async def ask_state(
+    async def request_state(
         self,
         entry: settings.Address,
         message: StateRequest,
@@ -161,7 +161,7 @@
     async def _request_state(self, peer: settings.Address) -> None:
         requested_at_s = self._clock.boot_s()
         try:
-            reply = await self._link.ask_state(
+            reply = await self._link.request_state(
                 peer, StateRequest(), _REQUEST_TIMEOUT_S
             )
         except errors.LinkError as error:
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -186,12 +186,12 @@
             settings.availability_zone,
             process.random,
         )
-        for forget in (
+        for reset in (
             placement.reset_instance,
             services.reset_latency,
             self.ejector.forget,
         ):
-            subscription = self.servers.restarts.subscribe(forget)
+            subscription = self.servers.restarts.subscribe(reset)
             process.exits.callback(subscription.dispose)
         turns = turn_client.TurnClient(
             settings.instance,
@@ -224,7 +224,7 @@
     ) -> None:
         """Request state from other entries, and answer those that start."""
         settings = self._file.settings
-        state = peer_bootstrap.PeerBootstrap(
+        bootstrap = peer_bootstrap.PeerBootstrap(
             self._peers,
             [
                 settings_module.address_of(seed)
@@ -238,13 +238,13 @@
             self._process.clock,
             lambda: store.epoch > 0,
         )
-        self._process.background.run('state', state.run)
+        self._process.background.run('state', bootstrap.run)
         if not settings.control:
             return
         control = link.ControlServer(
             settings_module.sealer(settings), _MAX_CONTROL_REQUESTS
         )
-        control.handle(peer_bootstrap.StateRequest, state.answer)
+        control.handle(peer_bootstrap.StateRequest, bootstrap.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
         self._process.exits.push_async_callback(control.close)
 
--- a/lacewingpitch/platform/wire.py
+++ b/lacewingpitch/platform/wire.py
@@ -19,7 +19,8 @@
     'unsafe': routing.RequestKind.AT_MOST_ONCE,
     'streaming': routing.RequestKind.STREAM,
 }
-# Whether a server in a state is leaving.  There are no other states.
+# Whether a server in a state is leaving.  Entries in any other state are
+# rejected.
 _IS_LEAVING = {'ready': False, 'draining': True}
 
 
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -24,7 +24,7 @@
         self.offered = []
         self.request_count = 0
 
-    async def ask_configuration(self, ip, message, timeout_s):
+    async def request_configuration(self, ip, message, timeout_s):
         self.request_count += 1
         if self.content is None:
             raise errors.NoReplyError(ip)
--- a/tests/test_peer_bootstrap.py
+++ b/tests/test_peer_bootstrap.py
@@ -41,7 +41,7 @@
             None, self.table, decode, clock
         )
         self.age = configuration_age.ConfigurationAge(clock)
-        self.state = peer_bootstrap.PeerBootstrap(
+        self.bootstrap = peer_bootstrap.PeerBootstrap(
             link,
             peers,
             self.servers,
@@ -65,7 +65,7 @@
         self.entries = {}
         self.requested = []
 
-    async def ask_state(self, entry, message, timeout_s):
+    async def request_state(self, entry, message, timeout_s):
         endpoint = f'{entry.ip}:{entry.port}'
         self.requested.append(endpoint)
         if endpoint not in self.entries:
@@ -74,7 +74,7 @@
         found = self.entries[endpoint]
         if isinstance(found, peer_bootstrap.StateReply):
             return found
-        return await found.state.answer(message)
+        return await found.bootstrap.answer(message)
 
 
 class Scene:
@@ -100,7 +100,7 @@
             scene.other.versions.record('m', 'a', 4)
             scene.link.entries = {B: Entry(), C: scene.other}
             await asyncio.sleep(20.0)
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             assert scene.starting.table.version == 5
             assert scene.starting.versions.required_version('m', 'a') == 4
             (found,) = scene.starting.servers.serving('chat')
@@ -115,7 +115,7 @@
         async def scenario(scene):
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             assert scene.starting.table.is_store_unreachable
 
         play(scenario)
@@ -123,7 +123,7 @@
     def test_no_peer_is_asked_if_the_store_works(self):
         async def scenario(scene):
             scene.starting.read_store()
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             assert scene.link.requested == []
 
         play(scenario)
@@ -140,7 +140,7 @@
             scene.link.entries = {B: scene.other}
             scene.starting.is_restored = True
             scene.starting.read_store(b'5')
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             assert scene.starting.table.version == 6
             assert scene.starting.versions.required_version('m', 'a') == 4
             assert not scene.starting.table.is_store_unreachable
@@ -156,7 +156,7 @@
             scene.other.servers.put(
                 backend_list.BackendServer('gone', 'chat', 'x', 1, 'z')
             )
-            running = asyncio.create_task(scene.starting.state.run())
+            running = asyncio.create_task(scene.starting.bootstrap.run())
             await asyncio.sleep(0.4)
             scene.starting.read_store(b'6')
             scene.link.entries = {B: scene.other}
@@ -168,7 +168,7 @@
 
     def test_all_peers_are_asked_until_one_has_the_state(self):
         async def scenario(scene):
-            running = asyncio.create_task(scene.starting.state.run())
+            running = asyncio.create_task(scene.starting.bootstrap.run())
             await asyncio.sleep(10.0)
             assert set(scene.link.requested) == {A, B, C}
             assert len(scene.link.requested) < 20
@@ -188,7 +188,7 @@
                 ),
                 B: scene.other,
             }
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             assert scene.starting.table.version == 5
 
         play(scenario)
@@ -199,7 +199,7 @@
         async def scenario(scene):
             scene.other.read_store()
             scene.link.entries = {A: scene.other}
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             scene.starting.servers.record_read()
             scene.starting.servers.replace_all([])
             assert scene.starting.servers.serving('chat')
@@ -218,7 +218,7 @@
             scene.other.age.confirm(0.0)
             scene.link.entries = {A: scene.other}
             await asyncio.sleep(20.0)
-            await scene.starting.state.run()
+            await scene.starting.bootstrap.run()
             assert scene.starting.table.version == 5
             assert scene.starting.age.age_s >= 20.0
 
