--- a/lacewingpitch/authentication.py
+++ b/lacewingpitch/authentication.py
@@ -99,9 +99,9 @@
             if route.is_public:
                 return None
             raise self._outdated_refusal()
-        found = keys.holder(key) if key else None
-        if found is not None or route.is_public:
-            return found
+        holder = keys.holder(key) if key else None
+        if holder is not None or route.is_public:
+            return holder
         if self._table.is_store_unreachable:
             # A newer configuration may contain the key, and its caller
             # would not retry after an "unknown key" refusal.
--- a/lacewingpitch/membership.py
+++ b/lacewingpitch/membership.py
@@ -84,10 +84,10 @@
 
     def is_leaving(self, name: str) -> bool:
         """Whether the list shows an instance as leaving."""
-        found = self._by_name.get(name)
+        instance = self._by_name.get(name)
         return (
-            found is not None
-            and found.state is live_list.InstanceState.LEAVING
+            instance is not None
+            and instance.state is live_list.InstanceState.LEAVING
         )
 
     @property
@@ -180,18 +180,18 @@
         # expiry of the first mark clear it.
         if self._clock.monotonic_s() >= self._cache_valid_until_s:
             self._available_by_serves.clear()
-        found = self._available_by_serves.get(serves)
-        if found is None and serves in self._live_by_serves:
-            found = self._exclude_marked(self._live_by_serves[serves])
-            self._available_by_serves[serves] = found
-        return found or ()
+        available = self._available_by_serves.get(serves)
+        if available is None and serves in self._live_by_serves:
+            available = self._exclude_marked(self._live_by_serves[serves])
+            self._available_by_serves[serves] = available
+        return available or ()
 
     def _is_live_in_newer_list(self, instance: str, revision: int) -> bool:
-        found = self._by_name.get(instance)
+        listed = self._by_name.get(instance)
         return (
             self._list.revision > revision
-            and found is not None
-            and found.state is live_list.InstanceState.LIVE
+            and listed is not None
+            and listed.state is live_list.InstanceState.LIVE
         )
 
     def _clear_outdated_leaving_marks(self) -> None:
@@ -241,16 +241,16 @@
         PlatformError
             The list cannot be read.
         """
-        found = await source.watch(self._list.revision, timeout_s)
-        if found is None and self._list.revision:
+        published = await source.watch(self._list.revision, timeout_s)
+        if published is None and self._list.revision:
             # A platform that rolled back to an older list never answers a
             # watch for revisions above its own; a plain read returns the
             # lower revision.
-            found = await source.read(self._list.revision)
-            if found is None:
+            published = await source.read(self._list.revision)
+            if published is None:
                 self._mark_current()
-        if found is not None:
-            self.update(found)
+        if published is not None:
+            self.update(published)
 
     def _mark_current(self) -> None:
         self._older_list_since_s = None
@@ -273,27 +273,27 @@
     def _keep_leaving_state(
         self, instance: live_list.Instance
     ) -> live_list.Instance:
-        known = self._by_name.get(instance.name)
-        if known is None or not known.is_same_process(instance):
+        previous = self._by_name.get(instance.name)
+        if previous is None or not previous.is_same_process(instance):
             return instance
-        if known.state is live_list.InstanceState.LEAVING:
-            return known
+        if previous.state is live_list.InstanceState.LEAVING:
+            return previous
         return instance
 
     def _filter_instances(
         self, instances: Iterable[live_list.Instance]
     ) -> list[live_list.Instance]:
-        found: dict[str, live_list.Instance] = {}
+        by_name: dict[str, live_list.Instance] = {}
         for instance in instances:
             if instance.deployment not in ('', self._deployment):
                 self._ignore('another deployment', instance.name)
                 continue
-            duplicate = found.get(instance.name)
+            duplicate = by_name.get(instance.name)
             if duplicate is not None:
                 self._ignore('listed twice', instance.name)
                 instance = _newer(duplicate, instance)
-            found[instance.name] = instance
-        return list(found.values())
+            by_name[instance.name] = instance
+        return list(by_name.values())
 
     def _apply(self, applied: live_list.InstanceList) -> None:
         self._list = applied
@@ -303,8 +303,8 @@
         self._live_by_serves = _live_sidecars(applied.instances)
         self._available_by_serves.clear()
         for name, instance in self._by_name.items():
-            known = before.get(name)
-            if known is not None and not known.is_same_process(instance):
+            previous = before.get(name)
+            if previous is not None and not previous.is_same_process(instance):
                 self._suspect_until_s.pop(name, None)
                 self._leaving_until_s.pop(name, None)
         for marks in (self._suspect_until_s, self._leaving_until_s):
@@ -339,11 +339,11 @@
 def _live_sidecars(
     instances: Iterable[live_list.Instance],
 ) -> dict[str, list[live_list.Instance]]:
-    found: dict[str, list[live_list.Instance]] = {}
+    by_serves: dict[str, list[live_list.Instance]] = {}
     for instance in instances:
         if (
             instance.role is live_list.Role.SIDECAR
             and instance.state is live_list.InstanceState.LIVE
         ):
-            found.setdefault(instance.serves, []).append(instance)
-    return found
+            by_serves.setdefault(instance.serves, []).append(instance)
+    return by_serves
--- a/lacewingpitch/organisation.py
+++ b/lacewingpitch/organisation.py
@@ -64,10 +64,10 @@
 
     An organisation without a limit gets the largest weight.
     """
-    found = tuple(organisations)
-    rates_per_s = [o.limit.rate_per_s for o in found if o.limit is not None]
+    listed = tuple(organisations)
+    rates_per_s = [o.limit.rate_per_s for o in listed if o.limit is not None]
     if not rates_per_s:
-        return found
+        return listed
     mean_per_s = statistics.fmean(rates_per_s)
     max_per_s = max(rates_per_s)
     return tuple(
@@ -75,5 +75,5 @@
             o,
             weight=(o.limit.rate_per_s if o.limit else max_per_s) / mean_per_s,
         )
-        for o in found
+        for o in listed
     )
--- a/lacewingpitch/peer_bootstrap.py
+++ b/lacewingpitch/peer_bootstrap.py
@@ -202,7 +202,9 @@
         except errors.PlatformError as error:
             log.error('peer state rejected', peer=peer.ip, error=str(error))
             return False
-        for found in reply.versions:
-            self._versions.record(found.model, found.adapter, found.version)
+        for version in reply.versions:
+            self._versions.record(
+                version.model, version.adapter, version.version
+            )
         self._has_applied_reply = True
         return True
--- a/lacewingpitch/platform/caller_headers.py
+++ b/lacewingpitch/platform/caller_headers.py
@@ -44,8 +44,8 @@
 def expected_tokens(request: web.BaseRequest) -> int:
     """Return the tokens that the caller expects; 0 if not stated."""
     # It is only an estimate, so a malformed value is ignored.
-    found = _parse_count(request.headers.get(names.EXPECTED_TOKENS, ''))
-    return min(found, _MAX_EXPECTED_TOKENS)
+    stated = _parse_count(request.headers.get(names.EXPECTED_TOKENS, ''))
+    return min(stated, _MAX_EXPECTED_TOKENS)
 
 
 def tokens(request: web.BaseRequest) -> tuple[int, int]:
--- a/lacewingpitch/platform/engine_client.py
+++ b/lacewingpitch/platform/engine_client.py
@@ -99,10 +99,10 @@
                 f'{self._url}{self._health_path()}', timeout=timeout
             ) as response:
                 await response.read()
-                found = response.headers.get(names.INCARNATION, '')
-        if not found:
+                incarnation = response.headers.get(names.INCARNATION, '')
+        if not incarnation:
             raise errors.PlatformError('engine: no incarnation in response')
-        return found
+        return incarnation
 
     async def report(self) -> engine_snapshot.EngineSnapshot:
         """Return the state that the engine reports.
@@ -124,18 +124,18 @@
                 data = await platform_call.read_limited(
                     response, _MAX_REPORT_BYTES
                 )
-                found = msgspec.json.decode(data, type=_EngineReport)
+                report = msgspec.json.decode(data, type=_EngineReport)
         return engine_snapshot.EngineSnapshot(
-            order_count=found.sequence,
-            is_leaving=found.state != _STATE_READY,
-            is_busy=found.busy,
-            models=frozenset(model.name for model in found.models),
-            held=wire.held_versions(found.models),
-            pending=wire.pending_versions(found.pending),
-            run_ids=frozenset(run.request_id for run in found.runs),
-            queued=found.queued,
-            running=found.active,
-            started_at_ms=found.born,
+            order_count=report.sequence,
+            is_leaving=report.state != _STATE_READY,
+            is_busy=report.busy,
+            models=frozenset(model.name for model in report.models),
+            held=wire.held_versions(report.models),
+            pending=wire.pending_versions(report.pending),
+            run_ids=frozenset(run.request_id for run in report.runs),
+            queued=report.queued,
+            running=report.active,
+            started_at_ms=report.born,
         )
 
     async def load_model(
--- a/lacewingpitch/platform/settings.py
+++ b/lacewingpitch/platform/settings.py
@@ -182,15 +182,17 @@
         """Read the file again; keep the current settings if it is invalid."""
         try:
             self._modified_ns = self._path.stat().st_mtime_ns
-            found = settings_module.load_settings(self._path, DaemonSettings)
+            reloaded = settings_module.load_settings(
+                self._path, DaemonSettings
+            )
         except (errors.SettingsError, OSError) as error:
             log.error('settings rejected', error=str(error))
             return
-        before, self.settings = self.settings, found
+        before, self.settings = self.settings, reloaded
         fields = [
             name
             for name in DaemonSettings.__struct_fields__
-            if getattr(before, name) != getattr(found, name)
+            if getattr(before, name) != getattr(reloaded, name)
         ]
         log.info('settings reloaded', changed=fields)
 
--- a/lacewingpitch/platform/store.py
+++ b/lacewingpitch/platform/store.py
@@ -170,12 +170,12 @@
             'waitMs': str(int(wait_s * 1000)),
         }
         epoch = self.epoch
-        found = await self._get(
+        response = await self._get(
             names.WATCH_PATH, query, wait_s + _READ_TIMEOUT_S, _Events
         )
         if self.epoch != epoch:
             raise _HistoryGoneError('store: revision from another epoch')
-        return found.at, found.events
+        return response.at, response.events
 
     async def _get(
         self,
--- a/lacewingpitch/platform/store_updates.py
+++ b/lacewingpitch/platform/store_updates.py
@@ -130,14 +130,14 @@
             return
         self._servers.record_read(is_new_epoch=change.is_new_epoch)
         if change.is_full_read:
-            found = []
+            listed = []
             for item in change.items:
                 server = self._decode(item)
                 if server is None:
                     self._servers.discard(_name_of(item))
                 else:
-                    found.append(server)
-            self._servers.replace_all(found)
+                    listed.append(server)
+            self._servers.replace_all(listed)
             return
         # In the order of the store: if a server was updated and then
         # removed within one change, it must not be listed again.
@@ -156,14 +156,14 @@
         self, item: store_module.Item
     ) -> backend_list.BackendServer | None:
         try:
-            found = wire.decode_backend_server(
+            server = wire.decode_backend_server(
                 _name_of(item), item.value, item.created_revision
             )
         except errors.PlatformError as error:
             self._log_rejection(item.key, str(error))
             return None
         self._rejection_reasons.pop(item.key, None)
-        return found
+        return server
 
     def _log_rejection(self, key: str, reason: str) -> None:
         if self._rejection_reasons.get(key) == reason:
--- a/lacewingpitch/platform/wire.py
+++ b/lacewingpitch/platform/wire.py
@@ -140,12 +140,12 @@
     PlatformError
         It is malformed.
     """
-    found = _decode(content, _Configuration, 'configuration')
+    published = _decode(content, _Configuration, 'configuration')
     return routing.Configuration(
-        version=found.version,
+        version=published.version,
         routes=tuple(
             _route(route)
-            for route in found.routes
+            for route in published.routes
             if route.kind in _KIND_BY_TYPE
         ),
         engines={
@@ -162,18 +162,18 @@
                     for model in service.engine.models
                 },
             )
-            for service in found.services
+            for service in published.services
             if service.engine is not None
         },
         limits=routing.CallerLimits(
-            header_bytes=found.limits.header_bytes,
-            body_bytes=found.limits.body_bytes,
-            header_timeout_s=found.limits.header_ms / _MS_PER_S,
-            idle_timeout_s=found.limits.idle_ms / _MS_PER_S,
+            header_bytes=published.limits.header_bytes,
+            body_bytes=published.limits.body_bytes,
+            header_timeout_s=published.limits.header_ms / _MS_PER_S,
+            idle_timeout_s=published.limits.idle_ms / _MS_PER_S,
         ),
         content=content,
-        services=frozenset(service.name for service in found.services),
-        organisations=_organisations(found.tenants),
+        services=frozenset(service.name for service in published.services),
+        organisations=_organisations(published.tenants),
     )
 
 
@@ -187,25 +187,25 @@
     PlatformError
         It is malformed, or its state is unknown.
     """
-    found = _decode(content, _BackendServer, name)
+    entry = _decode(content, _BackendServer, name)
     try:
-        ip, port = settings_module.split_endpoint(found.address)
+        ip, port = settings_module.split_endpoint(entry.address)
     except ValueError as error:
         raise errors.PlatformError(f'{name}: {error}') from error
-    is_leaving = _IS_LEAVING.get(found.state)
+    is_leaving = _IS_LEAVING.get(entry.state)
     if is_leaving is None:
         raise errors.PlatformError(f'{name}: unknown state')
     return backend_list.BackendServer(
         name=name,
-        service=found.service,
+        service=entry.service,
         ip=ip,
         port=port,
-        availability_zone=found.zone,
+        availability_zone=entry.zone,
         is_leaving=is_leaving,
-        max_running=found.slots,
-        adapters=held_versions(found.models),
+        max_running=entry.slots,
+        adapters=held_versions(entry.models),
         created_revision=created_revision,
-        started_at_ms=found.born,
+        started_at_ms=entry.born,
     )
 
 
@@ -217,54 +217,54 @@
     PlatformError
         It is malformed.
     """
-    found = _decode(content, _AdapterVersion, 'adapter version')
-    return found.model, found.adapter, found.version
+    published = _decode(content, _AdapterVersion, 'adapter version')
+    return published.model, published.adapter, published.version
 
 
 def held_versions(models: Iterable[HeldModel]) -> dict[str, int]:
     """Return the versions of the loaded adapters by MODEL/ADAPTER."""
-    held = {}
+    versions = {}
     for model in models:
         for listed in model.adapters:
             adapter, _, version = listed.rpartition('@')
-            held[f'{model.name}/{adapter}'] = _parse_version(version)
-    return held
+            versions[f'{model.name}/{adapter}'] = _parse_version(version)
+    return versions
 
 
 def pending_versions(pending: Iterable[str]) -> dict[str, int]:
     """Return versions by MODEL/ADAPTER from a list of MODEL/NAME@VERSION."""
-    found = {}
+    versions = {}
     for listed in pending:
         key, _, version = listed.rpartition('@')
-        found[key] = _parse_version(version)
-    return found
+        versions[key] = _parse_version(version)
+    return versions
 
 
-def _route(found: _Route) -> routing.Route:
-    shares = found.split or (_WeightedService(found.service),)
+def _route(published: _Route) -> routing.Route:
+    shares = published.split or (_WeightedService(published.service),)
     return routing.Route(
-        name=found.name,
-        host=found.host,
-        path_prefix=found.prefix,
+        name=published.name,
+        host=published.host,
+        path_prefix=published.prefix,
         services=tuple(
             routing.WeightedService(share.service, share.weight)
             for share in shares
         ),
-        kind=_KIND_BY_TYPE[found.kind],
-        timeout_s=found.timeout_ms / _MS_PER_S,
-        target_latency_s=found.target_ms / _MS_PER_S,
-        max_attempts=found.max_attempts,
-        rank=found.priority,
-        is_resumable=found.is_resumable,
-        target_gap_s=found.gap_ms / _MS_PER_S,
-        is_public=found.is_public,
+        kind=_KIND_BY_TYPE[published.kind],
+        timeout_s=published.timeout_ms / _MS_PER_S,
+        target_latency_s=published.target_ms / _MS_PER_S,
+        max_attempts=published.max_attempts,
+        rank=published.priority,
+        is_resumable=published.is_resumable,
+        target_gap_s=published.gap_ms / _MS_PER_S,
+        is_public=published.is_public,
     )
 
 
 def _organisations(
-    found: tuple[_Tenant, ...] | None,
+    tenants: tuple[_Tenant, ...] | None,
 ) -> tuple[organisation.Organisation, ...] | None:
-    if found is None:
+    if tenants is None:
         return None
     return organisation.weighted(
         organisation.Organisation(
@@ -273,19 +273,19 @@
             rank=tenant.priority,
             limit=_usage_limit(tenant),
         )
-        for tenant in found
+        for tenant in tenants
     )
 
 
-def _usage_limit(found: _Tenant) -> organisation.UsageLimit | None:
-    if found.rate_per_s <= 0:
+def _usage_limit(tenant: _Tenant) -> organisation.UsageLimit | None:
+    if tenant.rate_per_s <= 0:
         return None
-    counts_tokens = found.unit == _TOKEN_UNIT
+    counts_tokens = tenant.unit == _TOKEN_UNIT
     return organisation.UsageLimit(
-        rate_per_s=found.rate_per_s,
-        burst=found.burst,
+        rate_per_s=tenant.rate_per_s,
+        burst=tenant.burst,
         counts_tokens=counts_tokens,
-        default_cost=found.unstated_tokens if counts_tokens else 1.0,
+        default_cost=tenant.unstated_tokens if counts_tokens else 1.0,
     )
 
 
