--- a/lacewingpitch/customer_limits.py
+++ b/lacewingpitch/customer_limits.py
@@ -1,8 +1,9 @@
-"""A customer's limits at one entry instance: admitted, or refused at once.
+"""Admission of requests within their customers' limits, at one entry.
 
-Rates are spent and places are held out of leases from the customer's
-owner, see `limit_lease`.  A request waits only for the owner's reply, or
-for a place to run while the contract's queue has room.
+Requests, tokens and slots come from leases that the owner of the
+customer's limits grants, see `limit_lease`.  A request waits only for the
+owner's reply, or for a slot to run while the contract's queue has room;
+otherwise it is admitted or refused at once.
 """
 
 import asyncio
@@ -26,21 +27,24 @@
 from lacewingpitch import live_list
 from lacewingpitch import node as node_module
 
-TICK_S = 0.5
-UNSTATED_TOKENS = 256
+TICK_INTERVAL_S = 0.5
+# Charged for a request that doesn't state its maximum.
+DEFAULT_MAX_TOKENS = 256
 _ASK_TIMEOUT_S = 0.3
 _HAND_OVER_TIMEOUT_S = 0.15
-_SUSPECT_S = 3.0
-_PROBE_S = 1.0
-_MAX_WANTS = 512
-_SELF = ''
-_PLACE_RETRY_S = 1.0
+# Time for which requests don't wait for an owner that didn't answer.
+_UNRESPONSIVE_S = 3.0
+_PROBE_INTERVAL_S = 1.0
+_MAX_WANTS_PER_MESSAGE = 512
+# Stands for the name of the owner if that is this instance.
+_THIS_INSTANCE = ''
+_SLOT_RETRY_S = 1.0
 _INCARNATION_LENGTH = 8
 log = structlog.get_logger(__name__)
 
 
 class LeaseLink(Protocol):
-    """How leases are asked for at other entry instances."""
+    """Sends lease requests to other entry instances."""
 
     async def ask(
         self, owner: live_list.Instance, ask: limit_lease.LeaseAsk
@@ -50,13 +54,13 @@
         Raises
         ------
         LinkError
-            It did not answer in time.
+            The owner did not answer in time.
         """
         ...
 
 
 class ControlLeaseLink:
-    """Leases over the control links."""
+    """Sends lease and handover requests over the control links."""
 
     def __init__(self, peers: link.PeerPool) -> None:
         self._peers = peers
@@ -71,7 +75,7 @@
     async def hand_over(
         self, owner: live_list.Instance, message: limit_lease.HandOver
     ) -> limit_lease.HandedOver:
-        """Return the reply of the owner before."""
+        """Return the reply of the previous owner."""
         peer = self._peers.peer(owner.ip, owner.control_port)
         return await peer.ask(
             message, limit_lease.HandedOver, _HAND_OVER_TIMEOUT_S
@@ -80,7 +84,15 @@
 
 @dataclasses.dataclass(slots=True)
 class AdmittedRequest:
-    """A request that was admitted, and what it has been charged."""
+    """The charges of an admitted request.
+
+    Parameters
+    ----------
+    estimated_tokens
+        Charged at admission.
+    used_tokens
+        Charged in the end; ``None`` leaves the estimate in force.
+    """
 
     estimated_tokens: float
     used_tokens: float | None = None
@@ -93,7 +105,7 @@
     list_version: int
     owner: live_list.Instance | None
     pending: int = 0
-    pending_places: int = 0
+    pending_slots: int = 0
     pending_tokens: float = 0.0
     queue: collections.deque[asyncio.Future[None]] = dataclasses.field(
         default_factory=collections.deque
@@ -101,21 +113,21 @@
 
     @property
     def owner_name(self) -> str:
-        return self.owner.name if self.owner else _SELF
+        return self.owner.name if self.owner else _THIS_INSTANCE
 
 
 @dataclasses.dataclass(slots=True)
 class _OwnerState:
-    """What is under way to one owner, and whether it answers."""
+    """Outstanding lease requests to one owner, and whether it answers."""
 
     due: dict[str, list[asyncio.Future[None]]] = dataclasses.field(
         default_factory=dict
     )
-    soon: set[str] = dataclasses.field(default_factory=set)
+    due_soon: set[str] = dataclasses.field(default_factory=set)
     task: asyncio.Task[None] | None = None
-    suspect_until_s: float = 0.0
+    unresponsive_until_s: float = 0.0
     probe_after_s: float = 0.0
-    used_s: float = 0.0
+    used_at_s: float = 0.0
 
 
 class CustomerLimits:
@@ -126,13 +138,13 @@
     clock
         Source of time.
     ownership
-        The live entry instances.
+        The live entry instances, and which limits they own.
     owner
-        State of what this instance owns itself.
+        State of the limits that this instance owns.
     granter
-        Leases out of it.
+        Grants leases of these limits.
     lease_link
-        Reaches the other owners.
+        Connects to the other owners.
     """
 
     def __init__(
@@ -164,67 +176,72 @@
     async def admit(
         self, contract: contract_module.Contract, max_tokens: int
     ) -> AsyncIterator[AdmittedRequest]:
-        """Hold a place for one request while the caller runs it.
+        """Admit one request, and occupy a slot while the context is open.
+
+        Parameters
+        ----------
+        max_tokens
+            The most that the request may generate; 0 if it doesn't say.
 
         Raises
         ------
         RefusalError
-            The customer is at a limit; says when to come back.
+            The customer is at a limit; says when to retry.
         """
         capacity = contract.limits.tokens_per_s * limit_lease.TOKEN_BURST_S
-        tokens = min(float(max_tokens or UNSTATED_TOKENS), capacity)
+        tokens = min(float(max_tokens or DEFAULT_MAX_TOKENS), capacity)
         customer = self._customer(contract)
         await self._spend(customer, tokens)
         try:
-            await self._take_place(customer)
+            await self._acquire_slot(customer)
         except BaseException:
-            customer.leased.unspend(tokens)
+            customer.leased.refund(tokens)
             raise
         admitted = AdmittedRequest(tokens)
         try:
             yield admitted
         finally:
-            # Whatever ends the request, the place is free again: a place
-            # lost by a caller that went away would shrink the limit.
+            # The slot is released however the request ends.  Otherwise each
+            # caller that disconnects would reduce the limit by one.
             customer.leased.running -= 1
             if admitted.used_tokens is not None:
                 customer.leased.charge(admitted.used_tokens - tokens)
-            _wake(customer)
+            _wake_waiters(customer)
 
-    def change(self, contract: contract_module.Contract) -> None:
-        """Put a new contract in force at once."""
+    def apply_contract(self, contract: contract_module.Contract) -> None:
+        """Apply a new contract at once."""
         found = self._customers.get(contract.customer)
         if found is None:
             return
         found.contract = contract
         found.list_version = -1
-        found.leased.change(contract)
+        found.leased.apply_contract(contract)
 
     async def run(self) -> None:
-        """Renew leases, and forget idle customers, until cancelled."""
+        """Renew leases, and drop idle customers, until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.tick()
 
     def tick(self) -> None:
-        """Renew what is due, and forget idle customers."""
+        """Renew the leases that are due, and drop idle customers."""
         self._owner.tick()
         for name, customer in list(self._customers.items()):
             leased = customer.leased
             if leased.is_idle() and not customer.pending:
                 del self._customers[name]
                 continue
-            self._locate(customer)
+            self._update_owner(customer)
             if customer.queue or leased.needs_renewal(
                 limit_lease.RENEWAL_INTERVAL_S
             ):
-                self._probe(customer)
+                self._schedule_renewal(customer)
             elif leased.needs_renewal(limit_lease.RENEWAL_INTERVAL_S / 2):
-                self._owners[customer.owner_name].soon.add(name)
-        self._forget_owners()
+                self._owners[customer.owner_name].due_soon.add(name)
+        self._drop_idle_owners()
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel outstanding lease requests."""
         for state in self._owners.values():
             if state.task is not None:
                 state.task.cancel()
@@ -240,26 +257,27 @@
                 None,
             )
             self._customers[contract.customer] = found
-        self._locate(found)
+        self._update_owner(found)
         return found
 
-    def _locate(self, customer: _Customer) -> None:
+    def _update_owner(self, customer: _Customer) -> None:
         if customer.list_version == self._ownership.version:
             return
         contract = customer.contract
         customer.list_version = self._ownership.version
         owner = self._ownership.owner(contract.customer, contract.region)
         if owner != customer.owner:
-            customer.leased.renew_now()
+            customer.leased.request_renewal()
         customer.owner = owner
-        customer.leased.share_over(
+        customer.leased.set_entry_count(
             self._ownership.entry_count(contract.region)
         )
 
     async def _spend(self, customer: _Customer, tokens: float) -> None:
         leased = customer.leased
-        # What came for a request that waits for it is not for one that
-        # comes later: the first would be refused within the contract.
+        # A grant belongs to the requests that wait for it.  If a later
+        # request could use it, an earlier one would be refused although it
+        # is within the contract.
         if not customer.pending and leased.spend(tokens):
             return
         if leased.may_ask:
@@ -268,163 +286,167 @@
                 return
         raise errors.RefusalError(
             errors.ErrorKind.RATE_LIMITED,
-            'the rate of the contract is reached',
+            'the request or token rate of the contract is reached',
             retry_after_s=leased.retry_after_s(),
         )
 
-    async def _take_place(self, customer: _Customer) -> None:
+    async def _acquire_slot(self, customer: _Customer) -> None:
         leased = customer.leased
-        is_first = not customer.queue and not customer.pending_places
-        if is_first and leased.has_place():
+        is_first = not customer.queue and not customer.pending_slots
+        if is_first and leased.has_running_slot():
             leased.running += 1
             return
-        if leased.may_ask_places:
-            customer.pending_places += 1
+        if leased.may_ask_slots:
+            customer.pending_slots += 1
             try:
                 await self._ask(customer, 0.0)
             finally:
-                customer.pending_places -= 1
-            if not customer.queue and leased.has_place():
+                customer.pending_slots -= 1
+            if not customer.queue and leased.has_running_slot():
                 leased.running += 1
                 return
-        if not leased.has_waiting_place():
+        if not leased.has_queue_slot():
             raise errors.RefusalError(
                 errors.ErrorKind.QUEUE_FULL,
                 'the queue of the contract is full',
-                retry_after_s=_PLACE_RETRY_S,
+                retry_after_s=_SLOT_RETRY_S,
             )
-        await self._wait_for_place(customer)
+        await self._wait_for_slot(customer)
 
-    async def _wait_for_place(self, customer: _Customer) -> None:
+    async def _wait_for_slot(self, customer: _Customer) -> None:
         leased = customer.leased
-        turn = asyncio.get_running_loop().create_future()
-        customer.queue.append(turn)
+        slot = asyncio.get_running_loop().create_future()
+        customer.queue.append(slot)
         leased.waiting += 1
         try:
             async with asyncio.timeout(customer.contract.deadline_s):
-                await turn
+                await slot
         except TimeoutError as error:
-            _give_up(customer, turn)
+            _abandon_wait(customer, slot)
             raise errors.RefusalError(
                 errors.ErrorKind.CONCURRENCY_LIMITED,
-                'no place to run came free in time',
-                retry_after_s=_PLACE_RETRY_S,
+                'no concurrency slot became free within the deadline',
+                retry_after_s=_SLOT_RETRY_S,
             ) from error
         except BaseException:
-            _give_up(customer, turn)
+            _abandon_wait(customer, slot)
             raise
         finally:
             leased.waiting -= 1
 
     async def _ask(self, customer: _Customer, tokens: float) -> None:
-        """Ask the owner, and return after its reply or its silence."""
+        """Ask the owner for a lease, and wait for its reply or a timeout."""
         state = self._owners[customer.owner_name]
-        # A request must not wait for an owner that is known to be silent:
-        # each one would be late by the timeout.  `tick` finds out when it
-        # answers again.
-        if self._clock.monotonic_s() < state.suspect_until_s:
-            customer.leased.fail()
+        # A request doesn't wait for an owner known to be unresponsive, as
+        # each one would be delayed by the timeout.  `tick` probes whether
+        # the owner answers again.
+        if self._clock.monotonic_s() < state.unresponsive_until_s:
+            customer.leased.mark_unreachable()
             return
         customer.pending += 1
         customer.pending_tokens += tokens
         try:
             done = asyncio.get_running_loop().create_future()
             state.due.setdefault(customer.contract.customer, []).append(done)
-            self._start(customer, state)
+            self._start_sending(customer, state)
             await done
         finally:
             customer.pending -= 1
             customer.pending_tokens -= tokens
 
-    def _probe(self, customer: _Customer) -> None:
+    def _schedule_renewal(self, customer: _Customer) -> None:
         state = self._owners[customer.owner_name]
         now_s = self._clock.monotonic_s()
-        if now_s < state.suspect_until_s:
-            customer.leased.fail()
+        if now_s < state.unresponsive_until_s:
+            customer.leased.mark_unreachable()
             if now_s < state.probe_after_s:
                 return
-            state.probe_after_s = now_s + _PROBE_S
+            state.probe_after_s = now_s + _PROBE_INTERVAL_S
         state.due.setdefault(customer.contract.customer, [])
-        self._start(customer, state)
+        self._start_sending(customer, state)
 
-    def _start(self, customer: _Customer, state: _OwnerState) -> None:
-        state.used_s = self._clock.monotonic_s()
+    def _start_sending(self, customer: _Customer, state: _OwnerState) -> None:
+        state.used_at_s = self._clock.monotonic_s()
         if state.task is None or state.task.done():
-            state.task = asyncio.create_task(self._talk(customer.owner, state))
+            state.task = asyncio.create_task(
+                self._send_due_wants(customer.owner, state)
+            )
 
-    async def _talk(
+    async def _send_due_wants(
         self, owner: live_list.Instance | None, state: _OwnerState
     ) -> None:
-        """Ask one owner, a message at a time, for all that is due."""
+        """Send the due wants to one owner, one message at a time."""
         while state.due:
-            # What is due soon rides along with what cannot wait.
-            while state.soon:
-                state.due.setdefault(state.soon.pop(), [])
-            names = list(state.due)[:_MAX_WANTS]
+            # Renewals that are due soon are added to this message.
+            while state.due_soon:
+                state.due.setdefault(state.due_soon.pop(), [])
+            names = list(state.due)[:_MAX_WANTS_PER_MESSAGE]
             waiting = {name: state.due.pop(name) for name in names}
-            asked = [
+            customers = [
                 self._customers[name]
                 for name in names
                 if name in self._customers
             ]
             try:
-                for moved in await self._exchange(owner, asked, state):
-                    self._follow(moved, waiting.pop(moved.customer, []))
+                for moved in await self._send_and_apply(
+                    owner, customers, state
+                ):
+                    self._redirect(moved, waiting.pop(moved.customer, []))
             finally:
-                for turns in waiting.values():
-                    _release(turns)
+                for futures in waiting.values():
+                    _resolve(futures)
 
-    def _follow(
+    def _redirect(
         self,
         moved: limit_lease.Moved,
-        turns: list[asyncio.Future[None]],
+        futures: list[asyncio.Future[None]],
     ) -> None:
         customer = self._customers.get(moved.customer)
         if customer is None:
-            _release(turns)
+            _resolve(futures)
             return
-        # The list here is older than the owner's: until it is renewed,
-        # the owner that was told of is asked.
+        # The instance list here is older than the old owner's.  Until a
+        # newer one arrives, the owner named in the reply is asked.
         is_self = moved.owner.name == self._ownership.instance
         customer.owner = None if is_self else moved.owner
         state = self._owners[customer.owner_name]
-        state.due.setdefault(moved.customer, []).extend(turns)
-        self._start(customer, state)
+        state.due.setdefault(moved.customer, []).extend(futures)
+        self._start_sending(customer, state)
 
-    async def _exchange(
+    async def _send_and_apply(
         self,
         owner: live_list.Instance | None,
-        asked: list[_Customer],
+        customers: list[_Customer],
         state: _OwnerState,
     ) -> tuple[limit_lease.Moved, ...]:
         asked_s = self._clock.monotonic_s()
         try:
-            reply = await self._request(owner, asked)
+            reply = await self._send(owner, customers)
         except errors.LinkError as error:
             now_s = self._clock.monotonic_s()
-            state.suspect_until_s = now_s + _SUSPECT_S
-            state.probe_after_s = now_s + _PROBE_S
-            log.info('owner silent', error=str(error))
-            for customer in asked:
-                customer.leased.fail()
-                _wake(customer)
+            state.unresponsive_until_s = now_s + _UNRESPONSIVE_S
+            state.probe_after_s = now_s + _PROBE_INTERVAL_S
+            log.info('limit owner unreachable', error=str(error))
+            for customer in customers:
+                customer.leased.mark_unreachable()
+                _wake_waiters(customer)
             return ()
-        state.suspect_until_s = 0.0
-        parts = reply.by_customer([c.contract.customer for c in asked])
+        state.unresponsive_until_s = 0.0
+        parts = reply.by_customer([c.contract.customer for c in customers])
         moved = {found.customer for found in reply.moved}
-        for customer in asked:
+        for customer in customers:
             part = parts.get(customer.contract.customer)
             if customer.contract.customer in moved:
-                customer.leased.withdraw()
+                customer.leased.cancel_ask()
             elif part is None:
-                customer.leased.fail()
+                customer.leased.mark_unreachable()
             else:
                 customer.leased.apply(part, asked_s)
-            _wake(customer)
+            _wake_waiters(customer)
         return reply.moved
 
-    async def _request(
-        self, owner: live_list.Instance | None, asked: list[_Customer]
+    async def _send(
+        self, owner: live_list.Instance | None, customers: list[_Customer]
     ) -> limit_lease.LeaseReply:
         self._sequence += 1
         ask = limit_lease.LeaseAsk(
@@ -433,53 +455,53 @@
             sequence=self._sequence,
             wants=tuple(
                 customer.leased.want(customer.pending, customer.pending_tokens)
-                for customer in asked
+                for customer in customers
             ),
             reads_order=True,
         )
         if owner is None:
             return await self._granter.grant(ask)
         self.asks_count += 1
-        self.wants_count += len(asked)
+        self.wants_count += len(customers)
         return await self._link.ask(owner, ask)
 
-    def _forget_owners(self) -> None:
+    def _drop_idle_owners(self) -> None:
         now_s = self._clock.monotonic_s()
         for name, state in list(self._owners.items()):
-            if not state.due and now_s - state.used_s > _SUSPECT_S:
+            if not state.due and now_s - state.used_at_s > _UNRESPONSIVE_S:
                 if state.task is None or state.task.done():
                     del self._owners[name]
 
 
-def _release(turns: list[asyncio.Future[None]]) -> None:
-    for turn in turns:
-        if not turn.done():
-            turn.set_result(None)
+def _resolve(futures: list[asyncio.Future[None]]) -> None:
+    for slot in futures:
+        if not slot.done():
+            slot.set_result(None)
 
 
-def _wake(customer: _Customer) -> None:
+def _wake_waiters(customer: _Customer) -> None:
     leased = customer.leased
-    while customer.queue and leased.has_place():
-        turn = customer.queue.popleft()
-        if not turn.done():
+    while customer.queue and leased.has_running_slot():
+        slot = customer.queue.popleft()
+        if not slot.done():
             leased.running += 1
-            turn.set_result(None)
+            slot.set_result(None)
 
 
-def _give_up(customer: _Customer, turn: asyncio.Future[None]) -> None:
-    # The place may have come in the same turn of the loop as the
-    # cancellation; it would stay taken for good.
-    if turn.done() and not turn.cancelled():
+def _abandon_wait(customer: _Customer, slot: asyncio.Future[None]) -> None:
+    # The slot may have been assigned in the same iteration of the event
+    # loop as the cancellation; it would never be released.
+    if slot.done() and not slot.cancelled():
         customer.leased.running -= 1
-        _wake(customer)
+        _wake_waiters(customer)
         return
     with contextlib.suppress(ValueError):
-        customer.queue.remove(turn)
+        customer.queue.remove(slot)
 
 
 @contextlib.asynccontextmanager
 async def node_limits(node: node_module.Node) -> AsyncIterator[CustomerLimits]:
-    """Run the limits of an entry instance on its links and views."""
+    """Run the customers' limits of an entry instance on its links."""
     settings = node.settings
     ownership = limit_ownership.LimitOwnership(
         node.clock, settings.instance, settings.region
@@ -487,9 +509,11 @@
     owner = limit_lease.LimitOwner(
         node.clock, ownership, node.contract_registry
     )
-    links = ControlLeaseLink(node.peers)
-    granter = limit_handover.LeaseGranter(node.clock, ownership, owner, links)
-    found = CustomerLimits(node.clock, ownership, owner, granter, links)
+    lease_link = ControlLeaseLink(node.peers)
+    granter = limit_handover.LeaseGranter(
+        node.clock, ownership, owner, lease_link
+    )
+    found = CustomerLimits(node.clock, ownership, owner, granter, lease_link)
     node.control.handle(limit_lease.LeaseAsk, granter.grant)
     node.control.handle(limit_lease.HandOver, granter.hand_over)
     node.membership.changes.subscribe(
@@ -497,7 +521,7 @@
             published.revision, published.instances
         )
     )
-    node.contract_registry.changes.subscribe(found.change)
+    node.contract_registry.changes.subscribe(found.apply_contract)
     node.run(found.run())
     with contextlib.closing(found):
         yield found
--- a/lacewingpitch/limit_handover.py
+++ b/lacewingpitch/limit_handover.py
@@ -1,4 +1,4 @@
-"""Leases, after the owner before this one has handed over."""
+"""Handover of limits: a new owner takes them over before it grants leases."""
 
 import asyncio
 from typing import Protocol
@@ -11,39 +11,39 @@
 from lacewingpitch import limit_ownership
 from lacewingpitch import live_list
 
-_SILENT_S = 3.0
+_UNRESPONSIVE_S = 3.0
 log = structlog.get_logger(__name__)
 
 
 class HandOverLink(Protocol):
-    """How another entry instance is asked to hand over."""
+    """Sends a handover request to another entry instance."""
 
     async def hand_over(
         self, owner: live_list.Instance, message: limit_lease.HandOver
     ) -> limit_lease.HandedOver:
-        """Return the reply of the owner before.
+        """Return the reply of the previous owner.
 
         Raises
         ------
         LinkError
-            It did not answer in time.
+            The previous owner did not answer in time.
         """
         ...
 
 
 class LeaseGranter:
-    """Answers for an owner, new or old.
+    """Answers lease requests, and handover requests of new owners.
 
     Parameters
     ----------
     clock
         Source of time.
     ownership
-        The live entry instances.
+        The live entry instances, and which limits they own.
     owner
-        Leases what this instance owns.
+        Grants leases of the limits that this instance owns.
     hand_over_link
-        Reaches the owners before it.
+        Connects to previous owners.
     """
 
     def __init__(
@@ -57,25 +57,26 @@
         self._ownership = ownership
         self._owner = owner
         self._link = hand_over_link
-        self._adopting = asyncio.Lock()
-        self._silent_until_s: dict[str, float] = {}
+        self._handover_lock = asyncio.Lock()
+        self._unresponsive_until_s: dict[str, float] = {}
 
     async def grant(self, ask: limit_lease.LeaseAsk) -> limit_lease.LeaseReply:
-        """Lease what is there."""
+        """Grant leases, after the handover of limits that are new here."""
         if self._owner.pending_handovers(ask.wants):
-            # One at a time: an owner hands over once, and a second ask
-            # must not start from nothing while that reply is under way.
-            async with self._adopting:
-                await self._adopt(ask)
+            # Handovers are serialized: a previous owner hands over only
+            # once, and a second request must not start with new state
+            # while that reply is pending.
+            async with self._handover_lock:
+                await self._request_handovers(ask)
         return self._owner.grant(ask)
 
     async def hand_over(
         self, message: limit_lease.HandOver
     ) -> limit_lease.HandedOver:
-        """Stop leasing what another instance owns now."""
+        """Stop granting leases of limits that another instance owns now."""
         return self._owner.hand_over(message)
 
-    async def _adopt(self, ask: limit_lease.LeaseAsk) -> None:
+    async def _request_handovers(self, ask: limit_lease.LeaseAsk) -> None:
         for previous, customers in self._owner.pending_handovers(
             ask.wants
         ).items():
@@ -85,26 +86,26 @@
     async def _ask(
         self, previous: live_list.Instance, customers: list[str]
     ) -> limit_lease.HandedOver:
-        nothing = limit_lease.HandedOver()
+        no_states = limit_lease.HandedOver()
         now_s = self._clock.monotonic_s()
-        if now_s < self._silent_until_s.get(previous.name, 0.0):
-            return nothing
-        this = self._ownership.this_instance()
-        if this is None:
-            return nothing
+        if now_s < self._unresponsive_until_s.get(previous.name, 0.0):
+            return no_states
+        this_instance = self._ownership.this_instance()
+        if this_instance is None:
+            return no_states
         message = limit_lease.HandOver(
-            owner=this,
+            owner=this_instance,
             revision=self._ownership.revision,
             customers=tuple(customers),
         )
         try:
             return await self._link.hand_over(previous, message)
         except errors.LinkError as error:
-            log.info('not handed over', owner=previous.name, error=str(error))
-        self._silent_until_s = {
+            log.info('handover failed', owner=previous.name, error=str(error))
+        self._unresponsive_until_s = {
             name: until_s
-            for name, until_s in self._silent_until_s.items()
+            for name, until_s in self._unresponsive_until_s.items()
             if until_s > now_s
         }
-        self._silent_until_s[previous.name] = now_s + _SILENT_S
-        return nothing
+        self._unresponsive_until_s[previous.name] = now_s + _UNRESPONSIVE_S
+        return no_states
--- a/lacewingpitch/limit_lease.py
+++ b/lacewingpitch/limit_lease.py
@@ -570,7 +570,7 @@
         # the burst, and grants nothing until a new list had time to arrive.
         if now_s - self._last_active_s > PAUSE_THRESHOLD_S:
             self._owned.clear()
-            self._ownership.restart()
+            self._ownership.forget_history()
             self._grants_from_s = now_s + PAUSE_RECOVERY_S
         self._last_active_s = now_s
 
--- a/lacewingpitch/limit_ownership.py
+++ b/lacewingpitch/limit_ownership.py
@@ -1,4 +1,4 @@
-"""Which entry instance owns the limits of a customer."""
+"""Maps each customer to the entry instance that owns its limits."""
 
 import collections
 from collections.abc import Sequence
@@ -8,22 +8,23 @@
 from lacewingpitch import live_list
 from lacewingpitch import rendezvous
 
-_MAX_VIEWS = 16
+_MAX_LISTS = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _View:
-    since_s: float
+class _EntryList:
+    valid_from_s: float
     entries: tuple[live_list.Instance, ...]
     names: frozenset[str]
     by_region: dict[str, tuple[live_list.Instance, ...]]
 
 
 class LimitOwnership:
-    """The live entry instances, and the owner among them by hash.
+    """The live entry instances, and the owner of each customer's limits.
 
-    Every instance with the same list finds the same owner.  While the
-    list lags, two instances may each hold themselves for the owner.
+    The owner is found by rendezvous hash, so all instances with the same
+    instance list agree on it.  While the list of some instance is out of
+    date, two instances may both be owners by their own lists.
 
     Parameters
     ----------
@@ -43,15 +44,17 @@
         self._region = region
         self.version = 0
         self.revision = 0
-        self._views: collections.deque[_View] = collections.deque(
-            maxlen=_MAX_VIEWS
+        self._lists: collections.deque[_EntryList] = collections.deque(
+            maxlen=_MAX_LISTS
+        )
+        self._lists.append(
+            _EntryList(clock.monotonic_s(), (), frozenset(), {})
         )
-        self._views.append(_View(clock.monotonic_s(), (), frozenset(), {}))
 
     def update(
         self, revision: int, instances: Sequence[live_list.Instance]
     ) -> None:
-        """Take over a published list."""
+        """Apply a published instance list."""
         self.revision = revision
         entries = tuple(
             instance
@@ -59,14 +62,14 @@
             if instance.role is live_list.Role.ENTRY
             and instance.state is live_list.InstanceState.LIVE
         )
-        if entries == self._views[-1].entries:
+        if entries == self._lists[-1].entries:
             return
         by_region: dict[str, list[live_list.Instance]] = {}
         for entry in entries:
             by_region.setdefault(entry.region, []).append(entry)
         self.version += 1
-        self._views.append(
-            _View(
+        self._lists.append(
+            _EntryList(
                 self._clock.monotonic_s(),
                 entries,
                 frozenset(entry.name for entry in entries),
@@ -74,77 +77,85 @@
             )
         )
 
-    def restart(self) -> None:
-        """Begin anew, as a process that was started only now."""
+    def forget_history(self) -> None:
+        """Drop all earlier lists, as if the process had just started."""
         now_s = self._clock.monotonic_s()
-        newest = dataclasses.replace(self._views[-1], since_s=now_s)
-        self._views.clear()
-        self._views.append(newest)
+        newest = dataclasses.replace(self._lists[-1], valid_from_s=now_s)
+        self._lists.clear()
+        self._lists.append(newest)
 
     def owner(self, customer: str, region: str) -> live_list.Instance | None:
-        """Return the owner, ``None`` where it is this instance."""
-        found = _owner(self._views[-1], customer, region)
+        """Return the owner; ``None`` if it is this instance."""
+        found = _owner(self._lists[-1], customer, region)
         if found is None or found.name == self.instance:
             return None
         return found
 
     def owned_for_s(self, customer: str, region: str) -> float:
         """Return how long this instance has been the owner."""
-        since_s = self._clock.monotonic_s()
-        for view in reversed(self._views):
-            found = _owner(view, customer, region)
+        valid_from_s = self._clock.monotonic_s()
+        for entry_list in reversed(self._lists):
+            found = _owner(entry_list, customer, region)
             if found is not None and found.name != self.instance:
                 break
-            since_s = view.since_s
-        return self._clock.monotonic_s() - since_s
+            valid_from_s = entry_list.valid_from_s
+        return self._clock.monotonic_s() - valid_from_s
 
     def previous_owner(
         self, customer: str, region: str
     ) -> live_list.Instance | None:
-        """Return who was the owner before this instance, if known."""
-        for view in reversed(self._views):
-            found = _owner(view, customer, region)
+        """Return the owner before this instance; ``None`` if unknown."""
+        for entry_list in reversed(self._lists):
+            found = _owner(entry_list, customer, region)
             if found is not None and found.name != self.instance:
                 return found
-        # A process that joined finds only lists with itself in them: the
-        # owner before it is the one that the others' lists give.
-        return _owner(self._views[-1], customer, region, self.instance)
+        # A process that has just joined only knows lists that contain
+        # itself.  The previous owner is the one in the same list without
+        # this process.
+        return _owner(self._lists[-1], customer, region, self.instance)
 
     def this_instance(self) -> live_list.Instance | None:
-        """Return this entry instance as it is listed."""
-        for entry in self._views[-1].entries:
+        """Return this entry instance as listed; ``None`` if it isn't."""
+        for entry in self._lists[-1].entries:
             if entry.name == self.instance:
                 return entry
         return None
 
     def entry_count(self, region: str) -> int:
-        """Return over how many entry instances a limit is shared."""
-        view = self._views[-1]
-        listed = _candidates(view, region)
+        """Return the number of entry instances that share a limit.
+
+        It includes this instance, also while that isn't listed.
+        """
+        entry_list = self._lists[-1]
+        listed = _candidates(entry_list, region)
         count = len(listed)
         if all(entry.name != self.instance for entry in listed):
             count += 1
         return count
 
     def is_listed(self, instance: str) -> bool:
-        """Whether an entry instance is in the list."""
-        return instance in self._views[-1].names
+        """Whether an entry instance is in the current list."""
+        return instance in self._lists[-1].names
 
 
-def _candidates(view: _View, region: str) -> tuple[live_list.Instance, ...]:
-    found = view.by_region.get(region)
+def _candidates(
+    entry_list: _EntryList, region: str
+) -> tuple[live_list.Instance, ...]:
+    found = entry_list.by_region.get(region)
     if found is not None:
         return found
     return tuple(
-        entry for entries in view.by_region.values() for entry in entries
+        entry for entries in entry_list.by_region.values() for entry in entries
     )
 
 
 def _owner(
-    view: _View, customer: str, region: str, without: str = ''
+    entry_list: _EntryList, customer: str, region: str, excluded: str = ''
 ) -> live_list.Instance | None:
     candidates = [
-        entry for entry in _candidates(view, region) if entry.name != without
+        entry
+        for entry in _candidates(entry_list, region)
+        if entry.name != excluded
     ]
     return max(
         candidates,
--- a/tests/lease_entries.py
+++ b/tests/lease_entries.py
@@ -61,7 +61,7 @@
 
     async def tick(self):
         while True:
-            await asyncio.sleep(customer_limits.TICK_S)
+            await asyncio.sleep(customer_limits.TICK_INTERVAL_S)
             await self.awake.wait()
             self.limits.tick()
 
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -138,7 +138,7 @@
             CUSTOMER, revision=2, requests_per_s=0.01, burst_requests=1
         )
         for found in entries.all.values():
-            found.limits.change(new)
+            found.limits.apply_contract(new)
         assert await call_often(entry, new, 5) <= 1
 
 
--- a/tests/test_leased_limit.py
+++ b/tests/test_leased_limit.py
@@ -40,7 +40,7 @@
         lease(leased, clock, requests=2, tokens=10, running=1)
         clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         assert not leased.spend(1)
-        assert not leased.has_place()
+        assert not leased.has_running_slot()
 
     @pytest.mark.proves(Promise.LIMITS, Fault.FROZEN, Step.BEFORE_ADMISSION)
     def test_a_reply_read_late_is_no_lease(self, leased, clock):
@@ -53,7 +53,7 @@
         clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         lease(leased, clock, asked_s, requests=2, tokens=10, running=1)
         assert not leased.spend(1)
-        assert not leased.has_place()
+        assert not leased.has_running_slot()
 
     @pytest.mark.proves(Promise.LIMITS, Fault.LINK_CUT, Step.BEFORE_DELIVERY)
     def test_debt_outlives_a_lost_message(self, leased, clock):
@@ -65,13 +65,13 @@
         lease(leased, clock, requests=2, tokens=10)
         leased.charge(500)
         assert leased.want(1, 1).tokens_back == -490
-        leased.fail()
+        leased.mark_unreachable()
         assert leased.want(1, 1).tokens_back == -490
 
     def test_places_asked_back_are_not_used_meanwhile(self, leased, clock):
         lease(leased, clock, requests=9, tokens=10, running=5)
         leased.running = leased.want(0, 0).running
-        assert not leased.has_place()
+        assert not leased.has_running_slot()
 
     def test_a_new_owner_is_told_of_free_places(self, leased, clock):
         """A limit is held twice after its owner has changed.
@@ -80,7 +80,7 @@
         be a holder that tells the new owner only of places in use.
         """
         lease(leased, clock, requests=1, tokens=1, running=1)
-        leased.renew_now()
+        leased.request_renewal()
         assert leased.needs_renewal(limit_lease.RENEWAL_INTERVAL_S)
 
     @pytest.mark.parametrize(('calls', 'renews'), [(1, 0), (2, 0), (4, 1)])
@@ -112,7 +112,7 @@
         # Where it stays, nobody is told, and the owner has it again when
         # the lease lapses.
         clock.now_s += limit_lease.LONG_LEASE_DURATION_S
-        assert not leased.has_place()
+        assert not leased.has_running_slot()
 
     def test_asks_again_while_the_queue_may_have_room(self, leased, clock):
         """A customer is refused while its queue is empty.
@@ -122,21 +122,21 @@
         that takes "no place to run" for "no place to wait".
         """
         lease(leased, clock, requests=9, running=0, waiting=1)
-        assert leased.may_ask_places
+        assert leased.may_ask_slots
         lease(leased, clock, running=0, waiting=0)
-        assert not leased.may_ask_places
+        assert not leased.may_ask_slots
 
 
 class TestShare:
     def test_is_admitted_while_the_owner_is_silent(self, leased, clock):
-        leased.fail()
+        leased.mark_unreachable()
         assert [leased.spend(1) for _ in range(3)] == [True, True, False]
         assert leased.retry_after_s() == pytest.approx(1.0)
-        assert leased.has_place()
+        assert leased.has_running_slot()
 
     def test_does_not_grow_by_failing_again(self, leased, clock):
         for _ in range(5):
-            leased.fail()
+            leased.mark_unreachable()
             lease(leased, clock)
-        leased.fail()
+        leased.mark_unreachable()
         assert sum(leased.spend(1) for _ in range(9)) == 2
