--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -127,7 +127,9 @@
     def _tell_all(self, sender, arrived):
         now_s = self._clock.monotonic_s()
         for name in self._entries.all:
-            if (sender, name) not in self._entries.cut and self._runs(name):
+            if (sender, name) not in self._entries.broken_links and self._runs(
+                name
+            ):
                 self._told[name][sender] = (now_s, arrived)
 
     def _split(self, name):
@@ -283,9 +285,9 @@
                 await asyncio.sleep(5.0)
                 entries.publish(others)
             case 'part':
-                entries.part(others[:3])
+                entries.partition(others[:3])
                 await asyncio.sleep(25.0)
-                entries.cut.clear()
+                entries.broken_links.clear()
             case 'pause':
                 await self._pause(owner, others)
             case 'lag':
--- a/tests/lease_entries.py
+++ b/tests/lease_entries.py
@@ -1,4 +1,4 @@
-"""A few entries' limits in one process, joined by a link that can fail."""
+"""Customer limits of several entries in one process, over a faulty link."""
 
 import asyncio
 
@@ -67,11 +67,11 @@
 
 
 class Entries:
-    """Entries that ask each other, until they are cut, frozen, killed."""
+    """Entries that can be partitioned, paused and killed."""
 
     def __init__(self, clock, count):
         self.contracts = Contracts()
-        self.cut = set()
+        self.broken_links = set()
         self.dead = set()
         instances = [make_instance(number) for number in range(count)]
         self.all = {
@@ -98,14 +98,14 @@
         found = entry.ownership.owner(customer, REGION)
         return self.all[found.name] if found else entry
 
-    def part(self, some):
-        """Cut `some` off from the others, both ways."""
+    def partition(self, some):
+        """Break the links between `some` and the others, in both ways."""
         for one in some:
             for other in set(self.all) - set(some):
-                self.cut |= {(one, other), (other, one)}
+                self.broken_links |= {(one, other), (other, one)}
 
     def publish(self, names, to=None):
-        """Give a new list to all entries, or to those in `to`."""
+        """Publish an instance list to all entries, or to those in `to`."""
         self.revision += 1
         instances = [self.all[name].instance for name in names]
         for name in to if to is not None else self.all:
@@ -114,7 +114,7 @@
     async def reach(self, sender, owner):
         entry = self.all[owner.name]
         await asyncio.sleep(DELAY_S)
-        blocked = (sender, owner.name) in self.cut
+        blocked = (sender, owner.name) in self.broken_links
         if blocked or owner.name in self.dead or not entry.awake.is_set():
             await asyncio.sleep(TIMEOUT_S)
             raise errors.LinkError('no reply')
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -16,7 +16,7 @@
 COUNT = 4
 BURST = 8
 RATE_PER_S = 2.0
-PLACES = 4
+SLOTS = 4
 QUEUE = 2
 TOKENS_PER_S = 100.0
 
@@ -31,7 +31,7 @@
                 CUSTOMER,
                 requests_per_s=RATE_PER_S,
                 burst_requests=BURST,
-                concurrent_requests=PLACES,
+                concurrent_requests=SLOTS,
                 queued_requests=QUEUE,
                 tokens_per_s=TOKENS_PER_S,
             )
@@ -65,7 +65,7 @@
     return None
 
 
-async def call_often(entry, contract, count, **options):
+async def call_repeatedly(entry, contract, count, **options):
     """Return how many of `count` calls, one by one, are admitted."""
     found = [await call(entry, contract, **options) for _ in range(count)]
     return found.count(None)
@@ -76,21 +76,21 @@
     async def test_one_burst_over_all_entries(self, entries):
         admitted = 0
         for entry in entries.all.values():
-            admitted += await call_often(entry, entries.contract, 10)
+            admitted += await call_repeatedly(entry, entries.contract, 10)
         assert admitted == BURST
 
     @in_virtual_time
     async def test_one_entry_alone_gets_the_whole_limit(self, entries):
         entry = others(entries)[0]
-        assert await call_often(entry, entries.contract, 10) == BURST
+        assert await call_repeatedly(entry, entries.contract, 10) == BURST
 
     @in_virtual_time
     async def test_calls_at_once_are_all_admitted(self, entries):
-        """A customer within its contract is refused when calls come close.
+        """Guards against refusals within the contract by concurrent calls.
 
         A second call comes between the owner's reply to the first and the
-        turn in which the first goes on.  The cause would be a call that
-        takes what came for another.
+        iteration of the event loop in which the first resumes.  It must not
+        use the grant of the first.
         """
         for turns in range(8):
             contract = entries.contracts.add(f'customer-{turns}')
@@ -102,9 +102,9 @@
             assert await asyncio.gather(first, second) == [None, None]
 
     @in_virtual_time
-    async def test_comes_back_when_it_was_told_to(self, entries):
+    async def test_retry_after_the_stated_time_is_admitted(self, entries):
         entry = others(entries)[0]
-        await call_often(entry, entries.contract, BURST)
+        await call_repeatedly(entry, entries.contract, BURST)
         error = await call(entry, entries.contract)
         assert error.kind is ErrorKind.RATE_LIMITED
         assert error.outcome is errors.Outcome.NOT_RUN
@@ -116,8 +116,8 @@
     async def test_another_customers_burst_takes_nothing(self, entries):
         other = entries.contracts.add('caravan', requests_per_s=1)
         entry = others(entries)[0]
-        await call_often(entry, other, 200)
-        assert await call_often(entry, entries.contract, BURST) == BURST
+        await call_repeatedly(entry, other, 200)
+        assert await call_repeatedly(entry, entries.contract, BURST) == BURST
 
     @in_virtual_time
     async def test_tokens_are_corrected_when_the_answer_ends(self, entries):
@@ -133,16 +133,16 @@
     @in_virtual_time
     async def test_new_limits_are_in_force_at_once(self, entries):
         entry = others(entries)[0]
-        assert await call_often(entry, entries.contract, 2) == 2
+        assert await call_repeatedly(entry, entries.contract, 2) == 2
         new = entries.contracts.add(
             CUSTOMER, revision=2, requests_per_s=0.01, burst_requests=1
         )
         for found in entries.all.values():
             found.limits.apply_contract(new)
-        assert await call_often(entry, new, 5) <= 1
+        assert await call_repeatedly(entry, new, 5) <= 1
 
 
-class TestPlaces:
+class TestSlots:
     @in_virtual_time
     async def test_run_wait_and_refuse_over_all_entries(self, entries):
         calls = [
@@ -156,47 +156,46 @@
             for entry in entries.all.values()
             for customer in entry.limits._customers.values()
         )
-        assert running <= PLACES
+        assert running <= SLOTS
         found = await asyncio.gather(*calls)
         kinds = [error.kind for error in found if error is not None]
-        assert found.count(None) >= PLACES
+        assert found.count(None) >= SLOTS
         assert set(kinds) <= {ErrorKind.QUEUE_FULL}
 
     @in_virtual_time
     async def test_the_whole_queue_is_used_before_one_is_refused(
         self, entries
     ):
-        """A customer is refused while its queue is empty.
+        """Guards against refusals while the customer's queue is empty.
 
-        All places are taken; calls come one after the other, faster than
-        an entry asks again.  The cause would be an entry that takes "no
-        place to run" for "no place to wait".
+        All running slots are in use; calls come one after the other,
+        faster than an entry asks again.  A lack of running slots must not
+        count as a lack of queue slots.
         """
         entry = others(entries)[0]
         calls = []
-        for _ in range(PLACES + QUEUE):
+        for _ in range(SLOTS + QUEUE):
             found = call(entry, entries.contract, run_s=5.0)
             calls.append(asyncio.create_task(found))
             await asyncio.sleep(0.02)
         error = await call(entry, entries.contract)
         assert error.kind is ErrorKind.QUEUE_FULL
-        assert await asyncio.gather(*calls) == [None] * (PLACES + QUEUE)
+        assert await asyncio.gather(*calls) == [None] * (SLOTS + QUEUE)
 
     @in_virtual_time
-    async def test_places_that_came_free_are_given_back(self, entries):
-        """A customer waits though nothing of it runs.
+    async def test_free_slots_are_returned(self, entries):
+        """Guards against a customer that waits though nothing of it runs.
 
-        It calls every entry once, then one entry with all it may run.
-        The cause would be entries that keep free places to their lease's
-        end.
+        It calls every entry once, then one entry with as many calls as may
+        run.  Entries must not keep free slots until their leases expire.
         """
         for entry in entries.all.values():
             assert await call(entry, entries.contract) is None
         await asyncio.sleep(6.0)
         started_s = asyncio.get_running_loop().time()
         entry = others(entries)[0]
-        calls = [call(entry, entries.contract) for _ in range(PLACES)]
-        assert await asyncio.gather(*calls) == [None] * PLACES
+        calls = [call(entry, entries.contract) for _ in range(SLOTS)]
+        assert await asyncio.gather(*calls) == [None] * SLOTS
         assert asyncio.get_running_loop().time() - started_s < 0.2
 
     @in_virtual_time
@@ -204,7 +203,7 @@
         entry = others(entries)[0]
         calls = [
             asyncio.create_task(call(entry, entries.contract, run_s=100.0))
-            for _ in range(PLACES + 1)
+            for _ in range(SLOTS + 1)
         ]
         found = await asyncio.gather(*calls)
         kinds = [error.kind for error in found if error is not None]
@@ -212,18 +211,18 @@
 
     @pytest.mark.proves(Promise.LIMITS, Fault.NONE, Step.MID_STREAM)
     @in_virtual_time
-    async def test_places_of_callers_that_left_are_free(self, entries):
-        """A customer is refused for good after callers hung up.
+    async def test_slots_of_disconnected_callers_are_released(self, entries):
+        """Guards against slots that are lost when callers disconnect.
 
-        Calls run and wait, and all are cancelled, some in the very turn
-        in which their place comes.  The cause would be a place that is
-        given back on the good path only.
+        Calls run and wait, and all are cancelled, some in the iteration of
+        the event loop in which their slot is assigned.  The customer would
+        be refused for good.
         """
         entry = others(entries)[0]
         for _ in range(3):
             calls = [
                 asyncio.create_task(call(entry, entries.contract, run_s=9))
-                for _ in range(PLACES + QUEUE)
+                for _ in range(SLOTS + QUEUE)
             ]
             await asyncio.sleep(1.0)
             for running in calls:
@@ -232,44 +231,44 @@
             await asyncio.sleep(10.0)
         customer = entry.limits._customers.get(CUSTOMER)
         assert customer is None or customer.leased.running == 0
-        calls = [call(entry, entries.contract, run_s=1) for _ in range(PLACES)]
-        assert await asyncio.gather(*calls) == [None] * PLACES
+        calls = [call(entry, entries.contract, run_s=1) for _ in range(SLOTS)]
+        assert await asyncio.gather(*calls) == [None] * SLOTS
 
     @pytest.mark.proves(Promise.LIMITS, Fault.NONE, Step.QUEUED)
     @in_virtual_time
-    async def test_a_place_given_to_a_caller_that_leaves(self, entries):
-        """A place is lost each time that a waiting caller hangs up.
+    async def test_slot_assigned_to_a_caller_that_disconnects(self, entries):
+        """Guards against a slot lost when a waiting caller disconnects.
 
-        The place comes, and the caller is cancelled before it runs again.
-        The cause would be a cancelled wait that only leaves the queue.
+        The slot is assigned, and the caller is cancelled before it resumes.
+        Leaving the queue isn't enough: the slot must be released, too.
         """
         limits = others(entries)[0].limits
-        held = [limits.admit(entries.contract, 1) for _ in range(PLACES)]
-        for place in held:
-            await place.__aenter__()
+        held = [limits.admit(entries.contract, 1) for _ in range(SLOTS)]
+        for slot in held:
+            await slot.__aenter__()
         entry = others(entries)[0]
         waiting = asyncio.create_task(call(entry, entries.contract))
         await asyncio.sleep(0.05)
         await held[0].__aexit__(None, None, None)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        for place in held[1:]:
-            await place.__aexit__(None, None, None)
+        for slot in held[1:]:
+            await slot.__aexit__(None, None, None)
         assert limits._customers[CUSTOMER].leased.running == 0
 
     @pytest.mark.proves(Promise.LIMITS, Fault.KILLED, Step.MID_STREAM)
     @in_virtual_time
     async def test_a_new_owner_learns_of_long_calls(self, entries):
-        """A customer runs twice its limit after an instance dies.
+        """Guards against twice the limit after an instance is killed.
 
-        Calls run for long at one entry; the owner dies, and calls press
-        on another entry.  The cause would be a holder that tells the new
-        owner of its calls only when its long lease ends.
+        Calls run for long at one entry; the owner is killed, and another
+        entry gets many calls.  The holder must report its calls to the new
+        owner before its long lease ends.
         """
         owner = entries.owner_of(CUSTOMER)
         first, second = others(entries)[:2]
         long = []
-        for _ in range(PLACES):
+        for _ in range(SLOTS):
             found = call(first, entries.contract, run_s=40.0)
             long.append(asyncio.create_task(found))
             await asyncio.sleep(4.0)
@@ -279,21 +278,21 @@
         late = asyncio.create_task(call(second, entries.contract))
         await asyncio.sleep(2.0)
         assert not late.done()
-        assert await asyncio.gather(*long, late) == [None] * (PLACES + 1)
+        assert await asyncio.gather(*long, late) == [None] * (SLOTS + 1)
 
 
 class TestFaults:
     @pytest.mark.proves(Promise.LIMITS, Fault.PARTITION, Step.ANY)
     @in_virtual_time
     async def test_both_sides_of_a_partition_serve_within_bound(self, entries):
-        """A customer gets its limit once on each side of a partition.
+        """Guards against the whole limit on each side of a partition.
 
-        Two of four entries are cut off from the owner for two minutes;
-        all are called as fast as they admit.  The cause would be a side
-        that takes the whole limit for itself.
+        Two of four entries can't reach the owner for two minutes; all are
+        called as fast as they admit.  Each side must serve within its part
+        of the limit.
         """
         cut = others(entries)[:2]
-        entries.part([entry.name for entry in cut])
+        entries.partition([entry.name for entry in cut])
         admitted = {entry.name: 0 for entry in cut}
         whole = 0
         started_s = asyncio.get_running_loop().time()
@@ -315,11 +314,11 @@
     @pytest.mark.proves(Promise.LIMITS, Fault.LINK_CUT, Step.ANY)
     @in_virtual_time
     async def test_shares_in_use_are_kept_free_at_the_owner(self, entries):
-        """A partition under steady load gives more than the contract.
+        """Guards against more than the contract during a partition.
 
-        All entries serve when the cut comes, and go on.  The cause would
-        be an owner that leases also the shares of those that it hears no
-        more, while they use them.
+        All entries serve when the partition begins, and go on.  The owner
+        must not lease the shares of entries that it can't reach, as they
+        use them.
         """
         loop, admitted = asyncio.get_running_loop(), 0
         contract = entries.contracts.add(
@@ -329,7 +328,7 @@
             if second == 20:
                 cut_s = loop.time()
                 cut = others(entries)[:2]
-                entries.part([entry.name for entry in cut])
+                entries.partition([entry.name for entry in cut])
             for _ in range(10):
                 await asyncio.sleep(0.1)
                 for entry in entries.all.values():
@@ -344,10 +343,10 @@
     @pytest.mark.proves(Promise.LIMITS, Fault.KILLED, Step.BEFORE_ADMISSION)
     @in_virtual_time
     async def test_a_dead_owner_delays_a_few_and_refuses_none(self, entries):
-        """A customer within its contract is refused as an instance dies.
+        """Guards against refusals within the contract as an owner dies.
 
-        The owner dies; the list says so after 5 s.  The cause would be a
-        holder that waits for the dead owner, or admits nothing.
+        The owner is killed, and the instance list drops it after 5 s.
+        Holders must neither wait for it for long nor admit nothing.
         """
         owner = entries.owner_of(CUSTOMER)
         entries.dead.add(owner.name)
@@ -365,38 +364,40 @@
 
     @pytest.mark.proves(Promise.LIMITS, Fault.HALF_OPEN, Step.ANY)
     @in_virtual_time
-    async def test_refuses_at_once_while_the_owner_is_silent(self, entries):
-        """Each refusal takes as long as a timeout.
+    async def test_refuses_at_once_while_the_owner_is_unreachable(
+        self, entries
+    ):
+        """Guards against refusals that each take as long as a timeout.
 
-        The owner does not answer; a customer sends more than the share
-        of this instance.  The cause would be a request that asks an
-        owner which is known to be silent.
+        The owner doesn't answer, and a customer sends more than the share
+        of this instance.  Requests must not wait for an owner known to be
+        unresponsive.
         """
         entries.dead.add(entries.owner_of(CUSTOMER).name)
         entry = others(entries)[0]
         await call(entry, entries.contract)
         started_s = asyncio.get_running_loop().time()
-        assert await call_often(entry, entries.contract, 20) <= 2
+        assert await call_repeatedly(entry, entries.contract, 20) <= 2
         assert asyncio.get_running_loop().time() - started_s < 0.2
 
     @pytest.mark.proves(Promise.LIMITS, Fault.FROZEN, Step.BEFORE_ADMISSION)
     @in_virtual_time
-    async def test_an_owner_that_wakes_up_late_adds_no_second_limit(
+    async def test_an_owner_that_resumes_late_adds_no_second_limit(
         self, entries
     ):
-        """A customer gets twice its limit after an owner was paused.
+        """Guards against twice the limit after a pause of the owner.
 
-        The owner is paused, another takes its place, and it wakes with
-        the old list; callers press on both.  The cause would be an owner
-        that goes on where it stopped.
+        The owner is paused, another replaces it, and it resumes with the
+        old list; both get many calls.  It must not continue with its old
+        state.
         """
         owner = entries.owner_of(CUSTOMER)
         rest = others(entries)
-        await call_often(rest[0], entries.contract, BURST)
+        await call_repeatedly(rest[0], entries.contract, BURST)
         owner.awake.clear()
         entries.publish([e.name for e in rest], to=[e.name for e in rest])
         await asyncio.sleep(30)
-        await call_often(rest[0], entries.contract, 2 * BURST)
+        await call_repeatedly(rest[0], entries.contract, 2 * BURST)
         owner.awake.set()
         admitted = 0
         for _ in range(20):
--- a/tests/test_leased_limit.py
+++ b/tests/test_leased_limit.py
@@ -23,11 +23,11 @@
     return leased_limit.LeasedLimit(clock, contract, 4)
 
 
-def lease(leased, clock, asked_s=None, **part):
+def lease(leased, clock, asked_at_s=None, **part):
     leased.want(1, 1)
     leased.apply(
         limit_lease.LeaseGrant('haneul', **part),
-        clock.now_s if asked_s is None else asked_s,
+        clock.now_s if asked_at_s is None else asked_at_s,
     )
 
 
@@ -36,7 +36,7 @@
         lease(leased, clock, requests=2, tokens=10)
         assert [leased.spend(1) for _ in range(3)] == [True, True, False]
 
-    def test_lapses(self, leased, clock):
+    def test_expires(self, leased, clock):
         lease(leased, clock, requests=2, tokens=10, running=1)
         clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         assert not leased.spend(1)
@@ -44,23 +44,24 @@
 
     @pytest.mark.proves(Promise.LIMITS, Fault.FROZEN, Step.BEFORE_ADMISSION)
     def test_a_reply_read_late_is_no_lease(self, leased, clock):
-        """An instance that slept admits on places leased to others since.
+        """Guards against slots that are used after others leased them.
 
-        It asks, is paused, and reads the reply after the lease is over.
-        The cause would be a lease that runs from when the reply is read.
+        An instance asks, is paused, and reads the reply after the lease
+        expired.  The lease must run from before the message was sent, and
+        not from when the reply is read.
         """
-        asked_s = clock.now_s
+        asked_at_s = clock.now_s
         clock.now_s += limit_lease.LONG_LEASE_DURATION_S
-        lease(leased, clock, asked_s, requests=2, tokens=10, running=1)
+        lease(leased, clock, asked_at_s, requests=2, tokens=10, running=1)
         assert not leased.spend(1)
         assert not leased.has_running_slot()
 
     @pytest.mark.proves(Promise.LIMITS, Fault.LINK_CUT, Step.BEFORE_DELIVERY)
     def test_debt_outlives_a_lost_message(self, leased, clock):
-        """Tokens are free for a customer whose link to the owner is bad.
+        """Guards against free tokens while the link to the owner is bad.
 
-        The debt of a long answer is told to the owner, and the message is
-        lost.  The cause would be a debt that is forgotten once it is sent.
+        The debt of a long answer is sent to the owner, and the message is
+        lost.  The debt must be sent again.
         """
         lease(leased, clock, requests=2, tokens=10)
         leased.charge(500)
@@ -68,16 +69,16 @@
         leased.mark_unreachable()
         assert leased.want(1, 1).tokens_back == -490
 
-    def test_places_asked_back_are_not_used_meanwhile(self, leased, clock):
+    def test_slots_being_returned_are_not_used(self, leased, clock):
         lease(leased, clock, requests=9, tokens=10, running=5)
         leased.running = leased.want(0, 0).running
         assert not leased.has_running_slot()
 
-    def test_a_new_owner_is_told_of_free_places(self, leased, clock):
-        """A limit is held twice after its owner has changed.
+    def test_a_new_owner_learns_of_free_slots(self, leased, clock):
+        """Guards against slots that are leased twice after a new owner.
 
-        An entry holds a free place for a call to come.  The cause would
-        be a holder that tells the new owner only of places in use.
+        An entry holds a free slot for a request to come.  It must report
+        that to the new owner, too, and not only slots in use.
         """
         lease(leased, clock, requests=1, tokens=1, running=1)
         leased.request_renewal()
@@ -92,34 +93,38 @@
         clock.now_s += 1.05 * limit_lease.RENEWAL_INTERVAL_S
         assert leased.needs_renewal(limit_lease.RENEWAL_INTERVAL_S) == renews
 
-    @pytest.mark.parametrize(('places', 'is_told'), [(40, False), (39, True)])
-    def test_only_of_a_large_limit_a_call_is_kept_ahead(
-        self, clock, places, is_told
+    @pytest.mark.parametrize(
+        ('slots', 'is_reported'), [(40, False), (39, True)]
+    )
+    def test_a_spare_slot_is_kept_only_with_a_large_limit(
+        self, clock, slots, is_reported
     ):
-        """A customer with few places waits for one that lies idle.
+        """Guards against waiting requests while slots are unused.
 
-        A call ends, and its place and the one ahead of it stay at the
-        entry.  The cause would be an entry that keeps them of any limit.
+        A request ends, and its slot and a spare one stay at the entry.
+        That is right only if the customer has many slots.
         """
         contracts = lease_entries.Contracts()
-        contract = contracts.add('haneul', concurrent_requests=places)
+        contract = contracts.add('haneul', concurrent_requests=slots)
         leased = leased_limit.LeasedLimit(clock, contract, 4)
         ahead = leased.want(1, 1).running
-        assert ahead == (1 if is_told else 2)
+        assert ahead == (1 if is_reported else 2)
         lease(leased, clock, requests=1, tokens=9, running=ahead)
         clock.now_s += 2.1 * limit_lease.RENEWAL_INTERVAL_S
-        assert leased.needs_renewal(limit_lease.RENEWAL_INTERVAL_S) == is_told
-        # Where it stays, nobody is told, and the owner has it again when
-        # the lease lapses.
+        assert (
+            leased.needs_renewal(limit_lease.RENEWAL_INTERVAL_S) == is_reported
+        )
+        # A slot that is kept isn't reported; the owner has it again when
+        # the lease expires.
         clock.now_s += limit_lease.LONG_LEASE_DURATION_S
         assert not leased.has_running_slot()
 
     def test_asks_again_while_the_queue_may_have_room(self, leased, clock):
-        """A customer is refused while its queue is empty.
+        """Guards against refusals while the customer's queue is empty.
 
-        It runs all that it may, has requests to spend, and calls come
-        faster than places are asked for.  The cause would be a holder
-        that takes "no place to run" for "no place to wait".
+        All running slots are in use, and requests come faster than slots
+        are asked for.  A lack of running slots must not count as a lack of
+        queue slots.
         """
         lease(leased, clock, requests=9, running=0, waiting=1)
         assert leased.may_ask_slots
@@ -128,7 +133,7 @@
 
 
 class TestShare:
-    def test_is_admitted_while_the_owner_is_silent(self, leased, clock):
+    def test_is_admitted_while_the_owner_is_unreachable(self, leased, clock):
         leased.mark_unreachable()
         assert [leased.spend(1) for _ in range(3)] == [True, True, False]
         assert leased.retry_after_s() == pytest.approx(1.0)
--- a/tests/test_limit_lease.py
+++ b/tests/test_limit_lease.py
@@ -15,11 +15,11 @@
 CUSTOMER = 'haneul'
 BURST = 10
 RATE_PER_S = 4.0
-PLACES = 6
+SLOTS = 6
 
 
-class Table:
-    """Owners around one clock, without links."""
+class Scene:
+    """Limit owners with a common clock, without links."""
 
     def __init__(self, count=3):
         self.clock = clocks.ManualClock(100.0)
@@ -28,8 +28,8 @@
             CUSTOMER,
             requests_per_s=RATE_PER_S,
             burst_requests=BURST,
-            concurrent_requests=PLACES,
-            queued_requests=PLACES,
+            concurrent_requests=SLOTS,
+            queued_requests=SLOTS,
         )
         self.instances = [
             lease_entries.make_instance(number) for number in range(count)
@@ -54,8 +54,8 @@
     def owner(self):
         return self.owners[self.owner_name]
 
-    def age(self, seconds):
-        """Pass time as a process that runs does."""
+    def run_for(self, seconds):
+        """Let time pass as in a process that runs without a pause."""
         end_s = self.clock.now_s + seconds
         while self.clock.now_s < end_s:
             self.clock.now_s = min(end_s, self.clock.now_s + 0.5)
@@ -77,165 +77,164 @@
 
 
 @pytest.fixture
-def table():
-    found = Table()
-    found.age(60)
+def scene():
+    found = Scene()
+    found.run_for(60)
     return found
 
 
 class TestRate:
-    def test_leases_what_is_wanted_and_no_more(self, table):
-        assert table.lease(requests=4).requests == 4
-        assert table.lease(requests=20).requests == BURST - 4
-        part = table.lease(requests=1)
+    def test_leases_what_is_wanted_and_no_more(self, scene):
+        assert scene.lease(requests=4).requests == 4
+        assert scene.lease(requests=20).requests == BURST - 4
+        part = scene.lease(requests=1)
         assert part.requests == 0
         assert part.retry_after_s == pytest.approx(1 / RATE_PER_S)
 
-    def test_what_is_given_back_can_be_leased_again(self, table):
-        table.lease(requests=BURST)
-        assert table.lease('entry-8', requests=1).requests == 0
-        table.lease(requests_back=3)
-        assert table.lease('entry-8', requests=3).requests == 3
+    def test_what_is_given_back_can_be_leased_again(self, scene):
+        scene.lease(requests=BURST)
+        assert scene.lease('entry-8', requests=1).requests == 0
+        scene.lease(requests_back=3)
+        assert scene.lease('entry-8', requests=3).requests == 3
 
     @pytest.mark.proves(Promise.LIMITS, Fault.SAME_TWICE, Step.ANY)
-    def test_a_message_that_arrives_twice_counts_once(self, table):
-        """A customer gets more than its rate after a link came back.
+    def test_a_message_that_arrives_twice_counts_once(self, scene):
+        """Guards against a repeated message that is credited twice.
 
-        A holder gives three requests back; the link breaks and the
-        message is sent again.  The cause would be an owner that credits
-        both.
+        A holder returns three requests, the link breaks, and the message
+        is sent again: the customer would exceed its rate.
         """
-        table.lease(requests=BURST)
-        ask = table.ask(requests_back=3)
-        assert table.owner.grant(ask).parts
-        assert not table.owner.grant(ask).parts
-        assert table.lease('entry-8', requests=9).requests == 3
-
-    def test_debt_of_tokens_stops_further_requests(self, table):
-        table.lease(tokens=1, tokens_back=-1e6)
-        part = table.lease(tokens=10)
+        scene.lease(requests=BURST)
+        ask = scene.ask(requests_back=3)
+        assert scene.owner.grant(ask).parts
+        assert not scene.owner.grant(ask).parts
+        assert scene.lease('entry-8', requests=9).requests == 3
+
+    def test_debt_of_tokens_stops_further_requests(self, scene):
+        scene.lease(tokens=1, tokens_back=-1e6)
+        part = scene.lease(tokens=10)
         assert part.tokens == 0
         assert part.retry_after_s > 1
 
-    def test_new_limits_hold_from_the_next_lease(self, table):
-        table.contracts.add(
+    def test_new_limits_hold_from_the_next_lease(self, scene):
+        scene.contracts.add(
             CUSTOMER, revision=2, requests_per_s=1, burst_requests=2
         )
-        assert table.lease(requests=10).requests == 2
+        assert scene.lease(requests=10).requests == 2
 
 
-class TestPlaces:
-    def test_are_shared_and_freed(self, table):
-        assert table.lease('entry-1', running=4).running == 4
-        assert table.lease('entry-2', running=4).running == 2
-        assert table.lease('entry-1', running=1).running == 1
-        assert table.lease('entry-2', running=9).running == 5
+class TestSlots:
+    def test_are_shared_and_freed(self, scene):
+        assert scene.lease('entry-1', running=4).running == 4
+        assert scene.lease('entry-2', running=4).running == 2
+        assert scene.lease('entry-1', running=1).running == 1
+        assert scene.lease('entry-2', running=9).running == 5
 
-    def test_lapse_with_the_lease(self, table):
-        table.lease('entry-9', running=PLACES, renews=True)
-        table.age(limit_lease.LEASE_DURATION_S + 0.5)
-        assert table.lease('entry-1', running=PLACES).running == PLACES
+    def test_expire_with_the_lease(self, scene):
+        scene.lease('entry-9', running=SLOTS, renews=True)
+        scene.run_for(limit_lease.LEASE_DURATION_S + 0.5)
+        assert scene.lease('entry-1', running=SLOTS).running == SLOTS
 
-    def test_share_of_a_silent_holder_stays_free(self, table):
-        table.lease('entry-1', running=1, renews=True)
-        table.age(limit_lease.LEASE_DURATION_S + 0.5)
-        assert table.lease('entry-2', running=9).running == PLACES - 2
+    def test_share_of_an_unreachable_holder_is_reserved(self, scene):
+        scene.lease('entry-1', running=1, renews=True)
+        scene.run_for(limit_lease.LEASE_DURATION_S + 0.5)
+        assert scene.lease('entry-2', running=9).running == SLOTS - 2
 
 
 class TestNewOwner:
     @pytest.mark.proves(Promise.LIMITS, Fault.KILLED, Step.ANY)
     def test_starts_with_a_share_of_the_burst(self):
-        """A customer gets a second burst each time an owner dies.
+        """Guards against a second burst each time an owner is killed.
 
-        The owner leases the whole burst and dies; the list makes another
-        the owner.  The cause would be a successor that takes no state for
-        an idle customer.
+        The owner leases the whole burst and dies, and the instance list
+        makes another the owner.  A successor that took missing state for an
+        idle customer would grant the whole burst again.
         """
-        table = Table()
-        table.age(60)
-        assert table.lease(requests=BURST).requests == BURST
-        rest = [i for i in table.instances if i.name != table.owner_name]
-        for name, ownership in table.ownerships.items():
-            if name != table.owner_name:
+        scene = Scene()
+        scene.run_for(60)
+        assert scene.lease(requests=BURST).requests == BURST
+        rest = [i for i in scene.instances if i.name != scene.owner_name]
+        for name, ownership in scene.ownerships.items():
+            if name != scene.owner_name:
                 ownership.update(2, rest)
-        found = table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
-        table.owner_name = found.name if found else rest[0].name
-        assert table.lease(requests=BURST).requests <= BURST / len(rest)
+        found = scene.ownerships[rest[0].name].owner(CUSTOMER, 'default')
+        scene.owner_name = found.name if found else rest[0].name
+        assert scene.lease(requests=BURST).requests <= BURST / len(rest)
 
     @pytest.mark.proves(Promise.LIMITS, Fault.LIST_WRONG, Step.ANY)
     def test_takes_over_state_and_the_old_one_stops(self):
-        """Two owners lease one limit while the list lags at one of them.
+        """Guards against two owners of a limit while a list is out of date.
 
-        The list drops the owner, and it hears of that last.  The cause
-        would be an owner that goes on for those with the old list.
+        The list drops the owner, which gets the new list last.  It must
+        stop granting leases to holders with the old list.
         """
-        table = Table()
-        table.age(60)
-        table.lease('entry-1', requests=BURST, running=4)
-        old_name, old = table.owner_name, table.owner
-        rest = [i for i in table.instances if i.name != old_name]
+        scene = Scene()
+        scene.run_for(60)
+        scene.lease('entry-1', requests=BURST, running=4)
+        old_name, old = scene.owner_name, scene.owner
+        rest = [i for i in scene.instances if i.name != old_name]
         for instance in rest:
-            table.ownerships[instance.name].update(2, rest)
-        found = table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
+            scene.ownerships[instance.name].update(2, rest)
+        found = scene.ownerships[rest[0].name].owner(CUSTOMER, 'default')
         new_name = found.name if found else rest[0].name
-        new = table.owners[new_name]
-        ask = table.ask('entry-2', requests=5, running=PLACES)
+        new = scene.owners[new_name]
+        ask = scene.ask('entry-2', requests=5, running=SLOTS)
         asked = new.pending_handovers(ask.wants)
         assert [previous.name for previous in asked] == [old_name]
         message = limit_lease.HandOver(
-            owner=table.ownerships[new_name].this_instance(),
+            owner=scene.ownerships[new_name].this_instance(),
             revision=2,
             customers=(CUSTOMER,),
         )
         new.apply_handover((CUSTOMER,), old.hand_over(message))
         part = new.grant(ask).parts[0]
-        assert (part.requests, part.running) == (0, PLACES - 4)
-        reply = old.grant(table.ask('entry-1', requests=1))
+        assert (part.requests, part.running) == (0, SLOTS - 4)
+        reply = old.grant(scene.ask('entry-1', requests=1))
         assert not reply.parts
         assert reply.moved[0].owner.name == new_name
 
     @pytest.mark.proves(Promise.LIMITS, Fault.FROZEN, Step.ANY)
-    def test_an_older_list_takes_nothing_from_the_owner(self, table):
-        """Limits double after a paused owner wakes up.
+    def test_an_older_list_takes_nothing_from_the_owner(self, scene):
+        """Guards against doubled limits after a paused owner resumes.
 
-        It wakes with the list of before and asks the owner of today to
-        hand over.  The cause would be an owner that obeys an older list.
+        It resumes with an old list, and asks the current owner to hand
+        over.  The current owner must refuse, as its list is newer.
         """
-        table.lease(requests=BURST)
-        table.ownerships[table.owner_name].update(5, table.instances)
+        scene.lease(requests=BURST)
+        scene.ownerships[scene.owner_name].update(5, scene.instances)
         message = limit_lease.HandOver(
             owner=lease_entries.make_instance(9),
             revision=4,
             customers=(CUSTOMER,),
         )
-        assert not table.owner.hand_over(message).states
-        assert table.lease(requests=0) is not None
+        assert not scene.owner.hand_over(message).states
+        assert scene.lease(requests=0) is not None
 
     @pytest.mark.proves(Promise.LIMITS, Fault.FROZEN, Step.ANY)
-    def test_grants_nothing_just_after_a_pause(self, table):
-        """A customer gets twice its rate after an instance slept.
+    def test_grants_nothing_just_after_a_pause(self, scene):
+        """Guards against twice the rate after a pause of the owner.
 
-        The owner is paused, a successor serves, and the owner wakes up
-        with buckets that refilled meanwhile.  The cause would be an owner
-        that does not notice its own pause.
+        The owner is paused, a successor grants leases, and the owner
+        resumes with buckets that refilled meanwhile.  It must detect its
+        own pause.
         """
-        table.lease(requests=BURST)
-        table.clock.now_s += 30
-        assert table.lease(requests=BURST) is None
+        scene.lease(requests=BURST)
+        scene.clock.now_s += 30
+        assert scene.lease(requests=BURST) is None
         want = limit_lease.LeaseWant(CUSTOMER, requests=1)
-        assert not table.owner.pending_handovers([want])
-        table.age(limit_lease.PAUSE_RECOVERY_S)
-        part = table.lease(requests=BURST)
+        assert not scene.owner.pending_handovers([want])
+        scene.run_for(limit_lease.PAUSE_RECOVERY_S)
+        part = scene.lease(requests=BURST)
         most = BURST / 3 + RATE_PER_S * limit_lease.PAUSE_RECOVERY_S
         assert 0 < part.requests <= most + 1
 
-    def test_leases_only_shares_of_places_until_all_have_asked(self):
-        table = Table()
-        part = table.lease('entry-1', running=PLACES)
-        assert part.running == PLACES // 3
-        table.age(limit_lease.LEASE_DURATION_S)
-        part = table.lease('entry-1', running=PLACES)
-        assert part.running == PLACES
+    def test_leases_only_shares_of_slots_until_all_have_asked(self):
+        scene = Scene()
+        part = scene.lease('entry-1', running=SLOTS)
+        assert part.running == SLOTS // 3
+        scene.run_for(limit_lease.LEASE_DURATION_S)
+        part = scene.lease('entry-1', running=SLOTS)
+        assert part.running == SLOTS
 
 
 class TestReply:
@@ -244,21 +243,21 @@
         [
             (True, CUSTOMER, ['', '']),
             (False, CUSTOMER, [CUSTOMER, CUSTOMER]),
-            # Of this one there is no contract, so its part is missing.
+            # This customer has no contract, so its part is missing.
             (True, 'unknown', [CUSTOMER]),
         ],
     )
     def test_leaves_names_out_where_no_part_is_missing(
-        self, table, reads_order, other, names
+        self, scene, reads_order, other, names
     ):
-        """A customer runs on the lease of another.
+        """Guards against a customer that uses the lease of another.
 
-        The reply has no names, and a customer in the middle is not owned.
-        The cause would be parts that are taken by their order alone.
+        A reply without names, in which a customer isn't owned, would assign
+        the following parts to the wrong customers.
         """
-        asked = table.ask(requests=2)
+        asked = scene.ask(requests=2)
         wants = (limit_lease.LeaseWant(other), *asked.wants)
-        reply = table.owner.grant(
+        reply = scene.owner.grant(
             msgspec.structs.replace(
                 asked, wants=wants, reads_order=reads_order
             )
@@ -270,78 +269,77 @@
 
 
 class TestMemory:
-    def test_idle_customers_are_dropped(self, table):
-        table.lease(requests=BURST, running=2)
-        assert len(table.owner) == 1
-        table.age(60)
-        assert len(table.owner) == 0
-        assert table.lease(requests=BURST).requests == BURST
+    def test_idle_customers_are_dropped(self, scene):
+        scene.lease(requests=BURST, running=2)
+        assert len(scene.owner) == 1
+        scene.run_for(60)
+        assert len(scene.owner) == 0
+        assert scene.lease(requests=BURST).requests == BURST
 
 
-class Bookkeeper:
-    """Holders, and the bucket that the customer's contract gives.
+class BoundMachine:
+    """Holders, beside a central bucket with the limits of the contract.
 
-    `level` is what one central bucket would hold after all that the
-    holders got.  An owner that starts knowing nothing starts with a share
-    of the burst: since the level was not below nothing, at most a share
-    comes on top at each such start.
+    `level` is the level of that bucket after all that was leased.  An
+    owner without state starts with a share of the burst.  As the level
+    wasn't negative before, each such start adds at most that share.
     """
 
     def __init__(self):
-        self.table = Table()
-        self.table.age(60)
+        self.scene = Scene()
+        self.scene.run_for(60)
         self.level = float(BURST)
-        self.left = {'entry-1': 0.0, 'entry-2': 0.0, 'entry-3': 0.0}
-        self.last = {}
+        self.unused = {'entry-1': 0.0, 'entry-2': 0.0, 'entry-3': 0.0}
+        self.last_asks = {}
 
     def lease(self, holder, wanted, lost):
-        ask = self.table.ask(holder, requests=wanted)
-        self.last[holder] = ask
-        reply = self.table.owner.grant(ask)
+        ask = self.scene.ask(holder, requests=wanted)
+        self.last_asks[holder] = ask
+        reply = self.scene.owner.grant(ask)
         if reply.parts and not lost:
-            self.left[holder] += reply.parts[0].requests
+            self.unused[holder] += reply.parts[0].requests
             self.level -= reply.parts[0].requests
 
     def give_back(self, holder, lost):
-        back, self.left[holder] = self.left[holder], 0.0
-        ask = self.table.ask(holder, requests_back=back)
+        back, self.unused[holder] = self.unused[holder], 0.0
+        ask = self.scene.ask(holder, requests_back=back)
         if not lost:
-            self.last[holder] = ask
-            self.table.owner.grant(ask)
+            self.last_asks[holder] = ask
+            self.scene.owner.grant(ask)
             self._add(back)
 
     def repeat(self, holder):
-        if holder in self.last:
-            self.table.owner.grant(self.last[holder])
+        if holder in self.last_asks:
+            self.scene.owner.grant(self.last_asks[holder])
 
     def spend(self, holder):
-        self.left[holder] = 0.0
+        self.unused[holder] = 0.0
 
     def pause(self, seconds):
-        self.table.clock.now_s += seconds
+        self.scene.clock.now_s += seconds
         self._add(RATE_PER_S * seconds)
         if seconds > limit_lease.PAUSE_THRESHOLD_S:
-            self._start_anew()
+            self._start_without_state()
 
     def move(self):
-        """Kill the owner; what it knew is lost."""
-        name = self.table.owner_name
-        if len(self.table.instances) == 1:
+        """Kill the owner, whose state is lost."""
+        name = self.scene.owner_name
+        if len(self.scene.instances) == 1:
             return
-        rest = [i for i in self.table.instances if i.name != name]
-        self.table.instances = rest
-        del self.table.ownerships[name], self.table.owners[name]
-        for ownership in self.table.ownerships.values():
+        rest = [i for i in self.scene.instances if i.name != name]
+        self.scene.instances = rest
+        del self.scene.ownerships[name], self.scene.owners[name]
+        for ownership in self.scene.ownerships.values():
             ownership.update(ownership.revision + 1, rest)
-        found = self.table.ownerships[rest[0].name].owner(CUSTOMER, 'default')
-        self.table.owner_name = found.name if found else rest[0].name
-        self._start_anew()
+        found = self.scene.ownerships[rest[0].name].owner(CUSTOMER, 'default')
+        self.scene.owner_name = found.name if found else rest[0].name
+        self._start_without_state()
 
     def _add(self, amount):
         self.level = min(max(self.level, BURST), self.level + amount)
 
-    def _start_anew(self):
-        self.level = max(1.0, BURST / len(self.table.instances))
+    def _start_without_state(self):
+        self.level = max(1.0, BURST / len(self.scene.instances))
 
 
 HOLDERS = strategies.sampled_from(['entry-1', 'entry-2', 'entry-3'])
@@ -371,16 +369,15 @@
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
     @hypothesis.given(strategies.lists(STEPS, min_size=30, max_size=60))
     def test_the_sum_stays_within_the_bound(self, steps):
-        """A customer gets more than the stated bound.
+        """Guards against a return or a start of an owner that counts twice.
 
-        Leases, losses, repeats, pauses and deaths of the owner come in
-        any order.  The cause would be a credit or a start that counts
-        twice.
+        Leases, losses, repeats, pauses and kills of the owner come in any
+        order; the customer must stay within the stated bound.
         """
-        keeper = Bookkeeper()
+        machine = BoundMachine()
         for name, *arguments in steps:
-            getattr(keeper, name)(*arguments)
-            assert keeper.level >= -1e-6
+            getattr(machine, name)(*arguments)
+            assert machine.level >= -1e-6
 
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
     @hypothesis.given(
@@ -391,18 +388,18 @@
             max_size=40,
         )
     )
-    def test_places_of_leases_in_force_stay_within_the_limit(self, asks):
-        table = Table()
-        table.age(60)
+    def test_slots_of_leases_in_force_stay_within_the_limit(self, asks):
+        scene = Scene()
+        scene.run_for(60)
         held = {}
         for holder, running, passed_s in asks:
-            table.age(passed_s)
-            part = table.lease(holder, running=running)
-            expires_s = table.clock.now_s + limit_lease.LONG_LEASE_DURATION_S
+            scene.run_for(passed_s)
+            part = scene.lease(holder, running=running)
+            expires_s = scene.clock.now_s + limit_lease.LONG_LEASE_DURATION_S
             held[holder] = (part.running, expires_s)
             in_force = sum(
                 places
                 for places, until_s in held.values()
-                if until_s > table.clock.now_s
+                if until_s > scene.clock.now_s
             )
-            assert in_force <= PLACES
+            assert in_force <= SLOTS
