--- a/tests/test_customer_limits_processes.py
+++ b/tests/test_customer_limits_processes.py
@@ -1,4 +1,4 @@
-"""Limits over real entry processes, held against what engines ran."""
+"""Customers' limits over real entry processes and the engines' runs."""
 
 import asyncio
 import contextlib
@@ -28,10 +28,10 @@
 BURST = 10
 LARGE = 'caravan-yard'
 LARGE_BURST = 30
-# A new owner starts with a third of the burst; the rest comes in by the
+# A new owner starts with a third of the burst; the rest refills at the
 # rate of the limit.
-FILL_S = (LARGE_BURST - LARGE_BURST / 3) / RATE_PER_S
-PRESS_S = 6.0
+REFILL_S = (LARGE_BURST - LARGE_BURST / 3) / RATE_PER_S
+LOAD_S = 6.0
 CALLERS = 3
 
 
@@ -69,7 +69,7 @@
         yield found
 
 
-class Clockless:
+class ZeroClock:
     def monotonic_s(self):
         return 0.0
 
@@ -79,7 +79,7 @@
 
 def owner_number(customer, listed=range(3)):
     """Return which entry owns a customer, by a list of some entries."""
-    ownership = limit_ownership.LimitOwnership(Clockless(), '', 'region-a')
+    ownership = limit_ownership.LimitOwnership(ZeroClock(), '', 'region-a')
     entries = [
         live_list.Instance(
             name=f'entry-{number}',
@@ -97,7 +97,7 @@
 
 
 async def until_leasing(deployment, number, customer):
-    """Wait until an entry leases a customer's limits, as their owner."""
+    """Wait until an entry grants leases of a customer, as the owner."""
     sealer = link_module.Sealer('test', deployment.secret, 'test')
     port = deployment.entries[number].ports['control_port']
     sequence = itertools.count(1)
@@ -117,28 +117,26 @@
         await processes.until(is_leasing)
 
 
-async def until_whole_burst(deployment, number):
-    """Wait until an owner that is new has the whole of a large burst."""
+async def until_burst_refilled(deployment, number):
+    """Wait until the bucket of a new owner holds the whole large burst."""
     await until_leasing(deployment, number, LARGE)
-    await asyncio.sleep(FILL_S)
+    await asyncio.sleep(REFILL_S)
 
 
-class Press:
-    """Callers that send to some entries as fast as they are answered."""
+class SteadyCallers:
+    """Callers that send to some entries as fast as they get answers."""
 
-    def __init__(
-        self, deployment, entries, press_s=PRESS_S, customer=CUSTOMER
-    ):
+    def __init__(self, deployment, entries, load_s=LOAD_S, customer=CUSTOMER):
         self._deployment = deployment
         self._customer = customer
         self._entries = entries
-        self._press_s = press_s
+        self._press_s = load_s
         self.served = {}
         self.kinds = set()
         self._limited = set()
 
     async def run(self, until_limited=False):
-        """Press on; for longer if it takes that until all are limited."""
+        """Send for `load_s`, or until all entries refuse if that's later."""
         self._until_limited = until_limited
         started_s = time.monotonic()
         self._until_s = started_s + self._press_s
@@ -149,7 +147,7 @@
                 for _ in range(CALLERS)
             )
         )
-        self.passed_s = time.monotonic() - started_s
+        self.elapsed_s = time.monotonic() - started_s
         return self
 
     def _goes_on(self):
@@ -182,17 +180,17 @@
 
 
 async def runs(deployment):
-    truths = [await deployment.truth(e) for e in deployment.engines]
-    return sum(len(truth.runs) for truth in truths)
+    reports = [await deployment.truth(e) for e in deployment.engines]
+    return sum(len(report.runs) for report in reports)
 
 
-def without(deployment, number):
-    """Return the list without an entry."""
+def instances_without(deployment, number):
+    """Return the instance list without an entry."""
     return [i for i in deployment.instances if i.name != f'entry-{number}']
 
 
-def put_behind(deployment, number, link):
-    """List an entry's control port as that of a relay."""
+def route_through_relay(deployment, number, link):
+    """Publish a relay's port as the control port of an entry."""
     deployment.instances = [
         msgspec.structs.replace(instance, control_port=link.port)
         if instance.name == f'entry-{number}'
@@ -204,24 +202,24 @@
 class TestLimits:
     async def test_all_traffic_at_one_entry_gets_the_limit(self, deployment):
         owner = owner_number(CUSTOMER)
-        press = await Press(deployment, [(owner + 1) % 3]).run()
-        assert press.kinds == {'rate-limited'}
-        most = BURST + RATE_PER_S * press.passed_s
-        assert 0.5 * RATE_PER_S * PRESS_S <= press.total <= most + 1
-        assert press.total == await runs(deployment)
+        callers = await SteadyCallers(deployment, [(owner + 1) % 3]).run()
+        assert callers.kinds == {'rate-limited'}
+        most = BURST + RATE_PER_S * callers.elapsed_s
+        assert 0.5 * RATE_PER_S * LOAD_S <= callers.total <= most + 1
+        assert callers.total == await runs(deployment)
 
     async def test_all_entries_together_get_one_limit(self, deployment):
-        press = await Press(deployment, range(3)).run()
-        most = BURST + RATE_PER_S * press.passed_s
-        assert 0.5 * RATE_PER_S * PRESS_S <= press.total <= most + 1
-        assert press.total == await runs(deployment)
+        callers = await SteadyCallers(deployment, range(3)).run()
+        most = BURST + RATE_PER_S * callers.elapsed_s
+        assert 0.5 * RATE_PER_S * LOAD_S <= callers.total <= most + 1
+        assert callers.total == await runs(deployment)
 
     async def test_another_customer_is_served_meanwhile(self, deployment):
-        press = Press(deployment, range(3))
-        pressing = asyncio.create_task(press.run())
+        callers = SteadyCallers(deployment, range(3))
+        running = asyncio.create_task(callers.run())
 
         async def is_at_its_limit():
-            return 'rate-limited' in press.kinds
+            return 'rate-limited' in callers.kinds
 
         await processes.until(is_at_its_limit)
         for number in range(9):
@@ -230,36 +228,36 @@
             ) as response:
                 assert response.status == 200
                 await response.read()
-        assert not pressing.done()
-        await pressing
+        assert not running.done()
+        await running
 
 
 class TestOwner:
     @pytest.mark.proves(Promise.LIMITS, Fault.KILLED, Step.BEFORE_ADMISSION)
     async def test_killed(self, deployment):
-        """A customer gets nothing, or all it likes, as its owner dies.
+        """Guards against refusals and against excess as an owner dies.
 
-        Callers press on the two others; the owner is killed, and the list
-        is published without it after a while.  The cause would be a
-        holder that waits for the dead owner or takes the whole limit, or
-        a successor that starts with a whole burst.
+        Callers load the two other entries; the owner is killed, and the
+        instance list drops it after a while.  Holders must not wait for
+        the dead owner or use the whole limit, and the successor must not
+        start with a whole burst.
         """
         owner = owner_number(LARGE)
         rest = [number for number in range(3) if number != owner]
-        await until_whole_burst(deployment, owner)
-        press = Press(deployment, rest, 1.0, LARGE)
-        before = await press.run(until_limited=True)
+        await until_burst_refilled(deployment, owner)
+        callers = SteadyCallers(deployment, rest, 1.0, LARGE)
+        before = await callers.run(until_limited=True)
         assert before.total >= LARGE_BURST
         await deployment.entries[owner].kill()
-        silent = await Press(deployment, rest, 3.0, LARGE).run()
-        shares = 2 / 3 * (LARGE_BURST + RATE_PER_S * silent.passed_s)
+        silent = await SteadyCallers(deployment, rest, 3.0, LARGE).run()
+        shares = 2 / 3 * (LARGE_BURST + RATE_PER_S * silent.elapsed_s)
         assert 0.5 * shares <= silent.total <= shares + RATE_PER_S
         listed_s = time.monotonic()
-        deployment.instances = without(deployment, owner)
+        deployment.instances = instances_without(deployment, owner)
         await deployment.publish_instances()
         successor = owner_number(LARGE, rest)
         await until_leasing(deployment, successor, LARGE)
-        after = await Press(deployment, rest, 2.0, LARGE).run()
+        after = await SteadyCallers(deployment, rest, 2.0, LARGE).run()
         rate = RATE_PER_S * (time.monotonic() - listed_s)
         assert 0.4 * rate <= after.total <= LARGE_BURST / 2 + rate + 3
         total = before.total + silent.total + after.total
@@ -269,12 +267,12 @@
     @pytest.mark.proves(Promise.LIMITS, Fault.LIST_WRONG, Step.ANY)
     @pytest.mark.proves(Promise.LIMITS, Fault.TWO_FAULTS, Step.ANY)
     async def test_frozen_and_woken(self, tmp_path):
-        """A customer gets a second limit from an owner that wakes up.
+        """Guards against a second limit from an owner that resumes.
 
         The owner is frozen for so long that its buckets refill, the list
-        drops it, and another leases the limits.  It wakes with its old
-        list, and nobody has reached it to say so; callers press on it.
-        The cause would be an owner that goes on where it stopped.
+        drops it, and another grants leases.  It resumes with its old list,
+        and no message about the change has reached it; callers load it.
+        It must not continue with its old state.
         """
         owner = owner_number(LARGE)
         rest = [number for number in range(3) if number != owner]
@@ -286,35 +284,35 @@
             await start(deployment, **{f'entry-{owner}': lagging})
             port = deployment.entries[owner].ports['control_port']
             link = await exits.enter_async_context(relay.Relay(port))
-            put_behind(deployment, owner, link)
+            route_through_relay(deployment, owner, link)
             listed = tuple(deployment.instances)
             await deployment.put(lagging, '/v1/instances', listed)
             await deployment.publish()
-            await until_whole_burst(deployment, owner)
-            press = Press(deployment, [owner], 1.0, LARGE)
-            before = await press.run(until_limited=True)
+            await until_burst_refilled(deployment, owner)
+            callers = SteadyCallers(deployment, [owner], 1.0, LARGE)
+            before = await callers.run(until_limited=True)
             assert before.total >= LARGE_BURST
             deployment.entries[owner].freeze()
-            # What would tell it of its successor is lost, too.
+            # Messages about its successor are lost, too.
             await link.cut()
-            deployment.instances = without(deployment, owner)
+            deployment.instances = instances_without(deployment, owner)
             await deployment.publish_instances()
             await until_leasing(deployment, owner_number(LARGE, rest), LARGE)
-            # Its own lease ends meanwhile.
-            asleep = await Press(
+            # Its own lease expires meanwhile.
+            asleep = await SteadyCallers(
                 deployment, rest, limit_lease.LEASE_DURATION_S + 0.5, LARGE
             ).run()
-            assert asleep.total >= 0.4 * RATE_PER_S * asleep.passed_s
+            assert asleep.total >= 0.4 * RATE_PER_S * asleep.elapsed_s
             woken_s = time.monotonic()
             deployment.entries[owner].wake()
-            woken = await Press(deployment, [owner], 1.0, LARGE).run()
-            share = (LARGE_BURST + RATE_PER_S * woken.passed_s) / 3
+            woken = await SteadyCallers(deployment, [owner], 1.0, LARGE).run()
+            share = (LARGE_BURST + RATE_PER_S * woken.elapsed_s) / 3
             assert 0.5 * share <= woken.total <= share + 1
-            # The list reaches it; from now on there is one limit.
+            # The new list reaches it; from now on there is one limit.
             await link.mend()
             listed = tuple(deployment.instances)
             await deployment.put(lagging, '/v1/instances', listed)
-            after = await Press(deployment, range(3), 3.0, LARGE).run()
+            after = await SteadyCallers(deployment, range(3), 3.0, LARGE).run()
             most = RATE_PER_S * (time.monotonic() - woken_s) + share
             assert woken.total + after.total <= most + RATE_PER_S / 2
             total = before.total + asleep.total + woken.total + after.total
@@ -324,30 +322,30 @@
 class TestPartition:
     @pytest.mark.proves(Promise.LIMITS, Fault.PARTITION, Step.ANY)
     async def test_both_sides_serve_within_the_bound(self, deployment):
-        """A customer gets its whole limit on each side of a partition.
+        """Guards against the whole limit on each side of a partition.
 
-        The owner cannot be reached by the two others; callers press on
-        all three.  The cause would be a side that takes the limit for
-        itself, or one that admits nothing.
+        The two other entries can't reach the owner; callers load all
+        three.  Each side must admit its part of the limit, and not the
+        whole of it.
         """
         owner = owner_number(CUSTOMER)
         rest = [number for number in range(3) if number != owner]
         control_port = deployment.entries[owner].ports['control_port']
         async with relay.Relay(control_port) as link:
-            put_behind(deployment, owner, link)
+            route_through_relay(deployment, owner, link)
             await deployment.publish_instances()
-            before = await Press(deployment, range(3), 3.0).run()
+            before = await SteadyCallers(deployment, range(3), 3.0).run()
             link.half_open()
-            cut = await Press(deployment, range(3), 8.0).run()
+            cut = await SteadyCallers(deployment, range(3), 8.0).run()
             link.heal()
         total = before.total + cut.total
-        passed_s = before.passed_s + cut.passed_s
-        shares = 2 / 3 * (BURST + RATE_PER_S * cut.passed_s)
-        assert total <= BURST + RATE_PER_S * passed_s + shares + 3
+        elapsed_s = before.elapsed_s + cut.elapsed_s
+        shares = 2 / 3 * (BURST + RATE_PER_S * cut.elapsed_s)
+        assert total <= BURST + RATE_PER_S * elapsed_s + shares + 3
         share = RATE_PER_S / 3
         for number in range(3):
             assert cut.served[number] >= 0.3 * share * 8.0
         for number in rest:
-            most = (BURST + RATE_PER_S * cut.passed_s) / 3
+            most = (BURST + RATE_PER_S * cut.elapsed_s) / 3
             assert cut.served[number] <= most + RATE_PER_S
         assert total == await runs(deployment)
