--- a/lacewingpitch/token_bucket.py
+++ b/lacewingpitch/token_bucket.py
@@ -1,20 +1,20 @@
-"""A token bucket, the measure of a rate with bursts."""
+"""A token bucket, which limits a rate and allows bursts."""
 
 
 class TokenBucket:
     """Tokens that refill at a rate up to a capacity.
 
-    The level may be negative: work whose size shows only afterwards is
+    The level may be negative: work whose cost is known only afterwards is
     charged then, and later work waits until the debt is refilled.
 
     Parameters
     ----------
     rate_per_s
-        Tokens that come back in a second.
+        Tokens refilled per second.
     capacity
-        Tokens that an idle bucket holds.
+        The most tokens that the bucket holds.
     level
-        Tokens that it holds at `now_s`.
+        Tokens in the bucket at `now_s`.
     now_s
         Monotonic time.
     """
@@ -30,7 +30,7 @@
         self._at_s = now_s
 
     def level(self, now_s: float) -> float:
-        """Return the tokens it holds."""
+        """Return the number of tokens, negative for a debt."""
         if now_s > self._at_s:
             refilled = self._level + self.rate_per_s * (now_s - self._at_s)
             self._level = min(self.capacity, refilled)
@@ -38,21 +38,24 @@
         return self._level
 
     def add(self, amount: float, now_s: float) -> None:
-        """Put tokens back, or take them where `amount` is negative."""
+        """Add tokens, or remove them if `amount` is negative."""
         self._level = min(self.capacity, self.level(now_s) + amount)
 
     def change(self, rate_per_s: float, capacity: float, now_s: float) -> None:
-        """Put another rate and capacity in force."""
+        """Change the rate and the capacity, from now on."""
         self.level(now_s)
         self.rate_per_s = rate_per_s
         self.capacity = capacity
         self._level = min(self._level, capacity)
 
     def wait_s(self, amount: float, now_s: float) -> float:
-        """Return the time until it holds `amount`."""
+        """Return the time until the bucket holds `amount`.
+
+        An amount above the capacity counts as the capacity.
+        """
         missing = min(amount, self.capacity) - self.level(now_s)
         return max(0.0, missing / self.rate_per_s)
 
     def is_full(self, now_s: float) -> bool:
-        """Whether it is as good as a new one."""
+        """Whether the bucket holds its whole capacity."""
         return self.level(now_s) >= self.capacity
--- a/lacewingpitch/usage_lease.py
+++ b/lacewingpitch/usage_lease.py
@@ -1,7 +1,8 @@
-"""Leases of what an organisation may use: their messages and their owner.
+"""Leases of organisations' usage limits: messages and the owner's side.
 
-One process owns the limit of an organisation.  Entries lease parts of it
-ahead of the requests that will use them.
+One process owns the limit of an organisation.  Entries lease parts of it in
+advance, for requests to come.  Units are tokens or requests, as the limit
+counts them.
 """
 
 import dataclasses
@@ -10,34 +11,36 @@
 from lacewingpitch import link
 from lacewingpitch import token_bucket
 
-# What is leased and not used by then goes back.
+# After this time, the unused part of a lease is returned to the owner.
 LEASE_S = 1.0
-# A new owner does not know what its predecessor has leased.
-_FIRST_LEVEL_RATIO = 0.5
-# Entries that asked in this time count as users of the limit.
-_USERS_S = 10.0
-# While the owner is silent, entries use no more than this ratio of the rate
-# together: those that the owner still hears use all of it.
-UNREACHED_RATIO = 0.5
-# Above any number of organisations that call at once.
+# Level of a new owner's bucket, relative to the burst: the owner doesn't
+# know what its predecessor has leased.
+_INITIAL_LEVEL_RATIO = 0.5
+# Entries that asked within this time share the limit while the owner is
+# unreachable.
+_ENTRY_RETENTION_S = 10.0
+# While the owner is unreachable, entries together use at most this ratio of
+# the rate, as entries that still reach the owner can use all of it.
+UNREACHABLE_RATIO = 0.5
+# More than the organisations that send requests at the same time.
 _MAX_ORGANISATIONS = 4096
 
 
 class UsageWant(link.Message, frozen=True):
-    """What an entry wants of one organisation's limit.
+    """An entry's request for a part of one organisation's limit.
 
     Parameters
     ----------
     rate_per_s, burst
-        The limit, as the entry knows it.
+        The limit in the entry's configuration.
     costs
-        Of the requests that wait, in their order.
+        Units needed by each waiting request, in the order of arrival.
     ahead
-        What it expects to need soon.
+        Units that the entry expects to need soon.
     unused
-        What it leased before, and gives back.
+        Units leased before and returned now.
     used_per_s
-        What it used of late.
+        Moving average of the units that the entry uses.
     """
 
     organisation: str
@@ -50,14 +53,14 @@
 
 
 class UsageAsk(link.Message, frozen=True):
-    """Asks an owner for parts of limits.
+    """Requests parts of several organisations' limits from one owner.
 
     Parameters
     ----------
     sequence
-        Rises with each ask of the entry, also over its restarts.
+        Rises with each message of the entry, also across its restarts.
     version
-        Version of the configuration that the limits are from.
+        Version of the configuration that contains the limits.
     """
 
     entry: str
@@ -67,18 +70,19 @@
 
 
 class UsageGrant(link.Message, frozen=True):
-    """What an entry gets of one organisation's limit.
+    """The part of one organisation's limit that an entry gets.
 
     Parameters
     ----------
     admitted
-        For each request that waits, whether there was enough for it.
+        For each waiting request, whether its cost was available.
     ahead
         Units leased for requests to come.
     left
-        Units that nobody has leased; negative for a debt.
+        Units that remain in the owner's bucket; negative for a debt.
     unreached_per_s
-        What the entry may use in a second while the owner is silent.
+        Units per second that the entry may use while the owner is
+        unreachable.
     """
 
     organisation: str
@@ -89,14 +93,14 @@
 
 
 class UsageReply(link.Message, frozen=True):
-    """Answers `UsageAsk`."""
+    """Answers `UsageAsk`, with one grant for each want."""
 
     grants: tuple[UsageGrant, ...] = ()
 
 
 @dataclasses.dataclass(slots=True)
-class _User:
-    """One entry that uses a limit."""
+class _EntryUsage:
+    """The last message of one entry about a limit."""
 
     sequence: int
     asked_at_s: float
@@ -109,16 +113,16 @@
 
     version: int
     bucket: token_bucket.TokenBucket
-    users: dict[str, _User] = dataclasses.field(default_factory=dict)
+    entries: dict[str, _EntryUsage] = dataclasses.field(default_factory=dict)
     asked_at_s: float = 0.0
 
 
 class UsageOwner:
-    """Leases the limits of the organisations that it is asked for.
+    """Grants leases of organisations' limits.
 
-    A limit is a token bucket here, and nowhere else.  An owner that starts
-    anew begins with part of a burst: what its predecessor leased is not
-    known, and full bursts one after the other would be far above the limit.
+    Only the owner has the token bucket of a limit.  A new owner starts with
+    part of a burst: it doesn't know what its predecessor leased, and full
+    bursts one after the other would far exceed the limit.
     """
 
     def __init__(self, clock: clock_module.Clock) -> None:
@@ -130,7 +134,7 @@
         return len(self._limits)
 
     async def grant(self, ask: UsageAsk) -> UsageReply:
-        """Lease what is wanted, as far as it is there."""
+        """Grant the available part of what is asked for."""
         return UsageReply(
             grants=tuple(self._grant(ask, want) for want in ask.wants)
         )
@@ -138,11 +142,13 @@
     def _grant(self, ask: UsageAsk, want: UsageWant) -> UsageGrant:
         now_s = self._clock.boot_s()
         limit = self._limit(ask, want, now_s)
-        self._note_user(limit, ask, want, now_s)
+        self._record_usage(limit, ask, want, now_s)
         bucket = limit.bucket
-        admitted = tuple(_take(bucket, cost, now_s) for cost in want.costs)
-        # When tokens are scarce, none may lie unused at one entry while
-        # another refuses callers.
+        admitted = tuple(
+            _try_spend(bucket, cost, now_s) for cost in want.costs
+        )
+        # Scarce units must not be unused at one entry while another entry
+        # refuses callers.
         spare = max(0.0, bucket.level(now_s)) / 2.0
         ahead = min(want.ahead, spare) if all(admitted) else 0.0
         bucket.add(-ahead, now_s)
@@ -151,65 +157,70 @@
             admitted=admitted,
             ahead=ahead,
             left=bucket.level(now_s),
-            unreached_per_s=self._unreached_per_s(limit, ask.entry),
+            unreached_per_s=self._unreachable_rate_per_s(limit, ask.entry),
         )
 
     def _limit(self, ask: UsageAsk, want: UsageWant, now_s: float) -> _Limit:
-        found = self._limits.get(want.organisation)
-        if found is None:
-            self._make_room()
+        limit = self._limits.get(want.organisation)
+        if limit is None:
+            self._evict_least_recent()
             bucket = token_bucket.TokenBucket(
                 want.rate_per_s,
                 want.burst,
-                _FIRST_LEVEL_RATIO * want.burst,
+                _INITIAL_LEVEL_RATIO * want.burst,
                 self._started_at_s,
             )
-            found = _Limit(ask.version, bucket)
-            self._limits[want.organisation] = found
-        elif ask.version > found.version:
-            found.version = ask.version
-            found.bucket.change(want.rate_per_s, want.burst, now_s)
-        found.asked_at_s = now_s
-        return found
-
-    def _note_user(
+            limit = _Limit(ask.version, bucket)
+            self._limits[want.organisation] = limit
+        elif ask.version > limit.version:
+            limit.version = ask.version
+            limit.bucket.change(want.rate_per_s, want.burst, now_s)
+        limit.asked_at_s = now_s
+        return limit
+
+    def _record_usage(
         self, limit: _Limit, ask: UsageAsk, want: UsageWant, now_s: float
     ) -> None:
-        before = limit.users.pop(ask.entry, None)
-        # A message that comes twice gives back once.
-        if before is not None and ask.sequence > before.sequence:
+        previous = limit.entries.pop(ask.entry, None)
+        # A repeated message must not return its unused units twice.
+        if previous is not None and ask.sequence > previous.sequence:
             limit.bucket.add(want.unused, now_s)
-        sequence = max(ask.sequence, before.sequence if before else 0)
-        limit.users[ask.entry] = _User(sequence, now_s, want.used_per_s)
-        oldest = next(iter(limit.users.values()))
-        if now_s - oldest.asked_at_s > _USERS_S:
-            limit.users = {
-                name: user
-                for name, user in limit.users.items()
-                if now_s - user.asked_at_s <= _USERS_S
+        sequence = max(ask.sequence, previous.sequence if previous else 0)
+        limit.entries[ask.entry] = _EntryUsage(
+            sequence, now_s, want.used_per_s
+        )
+        oldest = next(iter(limit.entries.values()))
+        if now_s - oldest.asked_at_s > _ENTRY_RETENTION_S:
+            limit.entries = {
+                name: usage
+                for name, usage in limit.entries.items()
+                if now_s - usage.asked_at_s <= _ENTRY_RETENTION_S
             }
 
-    def _unreached_per_s(self, limit: _Limit, entry: str) -> float:
-        used_per_s = sum(user.used_per_s for user in limit.users.values())
-        share = 1.0 / len(limit.users)
+    def _unreachable_rate_per_s(self, limit: _Limit, entry: str) -> float:
+        used_per_s = sum(usage.used_per_s for usage in limit.entries.values())
+        share = 1.0 / len(limit.entries)
         if used_per_s > 0.0:
-            share = limit.users[entry].used_per_s / used_per_s
-        return UNREACHED_RATIO * share * limit.bucket.rate_per_s
+            share = limit.entries[entry].used_per_s / used_per_s
+        return UNREACHABLE_RATIO * share * limit.bucket.rate_per_s
 
-    def _make_room(self) -> None:
+    def _evict_least_recent(self) -> None:
         if len(self._limits) < _MAX_ORGANISATIONS:
             return
-        # The one that nobody asked for longest has the fullest bucket.
+        # The least recently requested limit has the fullest bucket, so its
+        # removal loses the least.
         idle = min(
             self._limits, key=lambda name: self._limits[name].asked_at_s
         )
         del self._limits[idle]
 
 
-def _take(bucket: token_bucket.TokenBucket, cost: float, now_s: float) -> bool:
-    """Take the cost of a request if the bucket holds it.
+def _try_spend(
+    bucket: token_bucket.TokenBucket, cost: float, now_s: float
+) -> bool:
+    """Spend the cost of a request if the bucket holds it.
 
-    A request that is larger than the burst waits for a full bucket, and
+    A request above the burst is admitted only with a full bucket, and
     leaves a debt.
     """
     if bucket.level(now_s) < min(cost, bucket.capacity):
--- a/lacewingpitch/usage_limits.py
+++ b/lacewingpitch/usage_limits.py
@@ -1,4 +1,4 @@
-"""Keeps what organisations use within their limits, at one entry."""
+"""Admission of requests within their organisations' limits, at one entry."""
 
 import asyncio
 import collections
@@ -15,16 +15,16 @@
 from lacewingpitch import organisation as organisation_module
 from lacewingpitch import usage_lease
 
-# Far beyond a round trip.  Requests that wait then use what the entry may
-# admit without a lease.
+# Far longer than a round trip.  After it, waiting requests use the fallback
+# that needs no lease.
 _ASK_TIMEOUT_S = 0.25
-# An owner that did not answer is not asked again for so long.
-_SILENT_S = 1.0
-_MAX_HOLDINGS = 4096
-# Requests of an organisation that one message asks for.
-_MAX_COSTS = 64
-# Callers that come back together would find the limit used up again.
-_LEAST_RETRY_S = 0.1
+# Time for which an owner that didn't answer is not asked again.
+_UNRESPONSIVE_S = 1.0
+_MAX_ACCOUNTS = 4096
+# Limits the requests of an organisation in one message.
+_MAX_COSTS_PER_WANT = 64
+# Callers that retry all at once would find the limit used up again.
+_MIN_RETRY_S = 0.1
 _MS_PER_S = 1000
 log = structlog.get_logger(__name__)
 
@@ -32,24 +32,24 @@
 
 
 class OwnerLink(Protocol):
-    """Messages to the owners of limits."""
+    """Sends messages to the owners of limits."""
 
     async def ask_usage(
         self, ip: str, message: usage_lease.UsageAsk, timeout_s: float
     ) -> usage_lease.UsageReply:
-        """Ask for parts of limits."""
+        """Request parts of limits from the owner at `ip`."""
         ...
 
 
 class Owners(Protocol):
-    """Who owns which limit."""
+    """Finds the owners of limits."""
 
     def owner(self, organisation: str) -> str:
-        """Return the address of the owner; empty if there is none."""
+        """Return the owner's address; empty if there is no owner."""
         ...
 
-    def note_silent(self, ip: str) -> None:
-        """Take note that a process does not answer."""
+    def mark_unresponsive(self, ip: str) -> None:
+        """Record that a process did not answer."""
         ...
 
 
@@ -63,10 +63,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Account:
-    """What an entry knows of one organisation's limit."""
+    """The state of one organisation's limit at an entry."""
 
     name: str
-    holding: leased_usage.LeasedUsage
+    leased: leased_usage.LeasedUsage
     waiters: collections.deque[_Waiter] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -74,23 +74,24 @@
 
 @dataclasses.dataclass(slots=True)
 class _OwnerState:
-    """What is under way to one owner."""
+    """Outstanding requests to one owner, and whether it answers."""
 
     due: set[str] = dataclasses.field(default_factory=set)
     task: asyncio.Task[None] | None = None
-    silent_until_s: float = 0.0
+    unresponsive_until_s: float = 0.0
 
 
 class UsageLimits:
     """Charges requests to their organisations' limits.
 
-    Load it answers: an organisation that sends many times its usual, at
-    any number of entries.  What is above its limit is refused before a
-    turn, a load or a queue is spent on it.
+    It protects against an organisation that sends many times its usual
+    load, at any number of entries.  Requests above the limit are refused
+    before they use a turn, an adapter load or a queue entry.
 
-    A request that is covered by a lease waits for nobody.  Otherwise the
-    limit's owner is asked, one message at a time for all that waits.  While
-    the owner is silent each entry uses part of the limit on its own.
+    A request that is covered by a lease doesn't wait.  Otherwise the owner
+    of the limit is asked, with one message at a time for all waiting
+    requests.  While the owner is unreachable, each entry admits part of the
+    limit by itself.
 
     Parameters
     ----------
@@ -101,7 +102,7 @@
     version
         Returns the version of the configuration in force.
     entry_count
-        Returns how many entries there are, as far as is known.
+        Returns the known number of entries.
     """
 
     def __init__(
@@ -123,8 +124,8 @@
         self._states: dict[str, _OwnerState] = collections.defaultdict(
             _OwnerState
         )
-        # Rises over restarts as well, so that an owner tells a message of
-        # now from one of before.
+        # Rises across restarts, so that an owner recognises messages of an
+        # earlier process.
         self._sequence = int(clock.wall_s() * _MS_PER_S)
         self.ask_count = 0
         self.unreached_count = 0
@@ -136,14 +137,14 @@
         prompt_tokens: int,
         max_tokens: int,
     ) -> AsyncIterator[None]:
-        """Charge a request while the context runs it.
+        """Charge a request, and run it while the context is open.
 
-        What provably did not run is given back.
+        The charge is refunded if the request provably did not run.
 
         Raises
         ------
         RefusalError
-            The organisation is at its limit; says when to come back.
+            The organisation is at its limit; says when to retry.
         """
         if caller is None or caller.limit is None:
             yield
@@ -155,11 +156,11 @@
             yield
         except errors.RefusalError as error:
             if error.outcome is errors.Outcome.NOT_RUN:
-                account.holding.give_back(cost)
+                account.leased.refund(cost)
             raise
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel outstanding requests to owners."""
         tasks = [s.task for s in self._states.values() if s.task is not None]
         for task in tasks:
             task.cancel()
@@ -171,7 +172,7 @@
     ) -> _Account:
         found = self._accounts.get(name)
         if found is None:
-            self._make_room()
+            self._evict_idle()
             found = _Account(
                 name,
                 leased_usage.LeasedUsage(
@@ -180,69 +181,73 @@
             )
             self._accounts[name] = found
         else:
-            found.holding.change(limit)
+            found.leased.apply_limit(limit)
         return found
 
-    def _make_room(self) -> None:
-        if len(self._accounts) < _MAX_HOLDINGS:
+    def _evict_idle(self) -> None:
+        if len(self._accounts) < _MAX_ACCOUNTS:
             return
         for name, account in list(self._accounts.items()):
-            if account.holding.is_idle and not account.waiters:
+            if account.leased.is_idle and not account.waiters:
                 del self._accounts[name]
 
     async def _spend(self, account: _Account, cost: float) -> None:
-        holding = account.holding
-        # A later request must not take the lease that earlier ones wait for.
-        if not account.waiters and holding.spend(cost):
+        leased = account.leased
+        # A later request must not use a lease that earlier ones wait for.
+        if not account.waiters and leased.spend(cost):
             return
-        owner_wait_s = holding.owner_wait_s(cost)
+        owner_wait_s = leased.owner_wait_s(cost)
         if owner_wait_s:
-            raise _at_limit(account, owner_wait_s)
+            raise _limit_refusal(account, owner_wait_s)
         owner = self._owners.owner(account.name)
         state = self._states[owner]
-        is_silent = self._clock.monotonic_s() < state.silent_until_s
-        if owner and not is_silent:
+        is_unresponsive = (
+            self._clock.monotonic_s() < state.unresponsive_until_s
+        )
+        if owner and not is_unresponsive:
             waiter = _Waiter(cost, asyncio.get_running_loop().create_future())
             account.waiters.append(waiter)
             state.due.add(account.name)
             if state.task is None or state.task.done():
-                state.task = asyncio.create_task(self._talk(owner, state))
+                state.task = asyncio.create_task(
+                    self._send_due_wants(owner, state)
+                )
             await waiter.done
             return
-        refusal = self._spend_unreached(account, cost)
+        refusal = self._spend_fallback(account, cost)
         if refusal is not None:
             raise refusal
 
-    def _spend_unreached(
+    def _spend_fallback(
         self, account: _Account, cost: float
     ) -> errors.RefusalError | None:
-        """Use units without a lease; return a refusal if there are none."""
+        """Use units of the fallback; return a refusal if it has none."""
         self.unreached_count += 1
-        if account.holding.spend_unreached(cost):
+        if account.leased.spend_fallback(cost):
             return None
-        return _at_limit(account, account.holding.unreached_wait_s())
+        return _limit_refusal(account, account.leased.fallback_wait_s())
 
-    async def _talk(self, owner: str, state: _OwnerState) -> None:
-        """Ask one owner, a message at a time, for all that is due."""
+    async def _send_due_wants(self, owner: str, state: _OwnerState) -> None:
+        """Send the due wants to one owner, one message at a time."""
         while state.due:
             accounts = [self._accounts[name] for name in state.due]
             state.due.clear()
-            await self._exchange(owner, state, accounts)
+            await self._send_and_apply(owner, state, accounts)
             for account in accounts:
                 if account.waiters:
                     state.due.add(account.name)
 
-    async def _exchange(
+    async def _send_and_apply(
         self, owner: str, state: _OwnerState, accounts: list[_Account]
     ) -> None:
-        # Those that come while the owner is asked go with the next message.
-        asked = [
-            [waiter.cost for waiter in account.waiters][:_MAX_COSTS]
+        # Requests that arrive during the exchange go with the next message.
+        costs_asked = [
+            [waiter.cost for waiter in account.waiters][:_MAX_COSTS_PER_WANT]
             for account in accounts
         ]
         wants = tuple(
-            account.holding.want(account.name, costs)
-            for account, costs in zip(accounts, asked, strict=True)
+            account.leased.want(account.name, costs)
+            for account, costs in zip(accounts, costs_asked, strict=True)
         )
         self._sequence += 1
         self.ask_count += 1
@@ -258,61 +263,65 @@
             reply = await self._link.ask_usage(owner, message, _ASK_TIMEOUT_S)
             grants = {grant.organisation: grant for grant in reply.grants}
         except errors.LinkError as error:
-            state.silent_until_s = self._clock.monotonic_s() + _SILENT_S
-            self._owners.note_silent(owner)
-            log.warning('owner of limits silent', ip=owner, error=str(error))
+            state.unresponsive_until_s = (
+                self._clock.monotonic_s() + _UNRESPONSIVE_S
+            )
+            self._owners.mark_unresponsive(owner)
+            log.warning('limit owner unreachable', ip=owner, error=str(error))
         except BaseException:
             for account in accounts:
-                _cancel(account)
+                _cancel_waiters(account)
             raise
-        for account, costs in zip(accounts, asked, strict=True):
+        for account, costs in zip(accounts, costs_asked, strict=True):
             grant = grants.get(account.name)
             if grant is None:
-                self._settle(account, [None] * len(costs))
+                self._resolve_waiters(account, [None] * len(costs))
                 continue
-            account.holding.apply(grant, costs, asked_at_s)
-            self._settle(account, grant.admitted)
+            account.leased.apply(grant, costs, asked_at_s)
+            self._resolve_waiters(account, grant.admitted)
 
-    def _settle(
+    def _resolve_waiters(
         self, account: _Account, admitted: Sequence[bool | None]
     ) -> None:
-        """Tell the first waiters whether they may go on.
+        """Admit or refuse the first waiting requests.
 
         Parameters
         ----------
         admitted
-            What the owner says of each; ``None`` where it was silent.
+            The owner's decision on each; ``None`` if it didn't answer.
         """
         for is_admitted in admitted[: len(account.waiters)]:
             waiter = account.waiters.popleft()
             if waiter.done.done():
                 if is_admitted:
-                    account.holding.give_back(waiter.cost)
+                    account.leased.refund(waiter.cost)
                 continue
-            refusal = self._verdict(account, waiter.cost, is_admitted)
+            refusal = self._refusal(account, waiter.cost, is_admitted)
             if refusal is None:
                 waiter.done.set_result(None)
             else:
                 waiter.done.set_exception(refusal)
 
-    def _verdict(
+    def _refusal(
         self, account: _Account, cost: float, is_admitted: bool | None
     ) -> errors.RefusalError | None:
         if is_admitted is None:
-            return self._spend_unreached(account, cost)
+            return self._spend_fallback(account, cost)
         if is_admitted:
             return None
-        return _at_limit(account, account.holding.owner_wait_s(cost))
+        return _limit_refusal(account, account.leased.owner_wait_s(cost))
 
 
-def _at_limit(account: _Account, retry_after_s: float) -> errors.RefusalError:
+def _limit_refusal(
+    account: _Account, retry_after_s: float
+) -> errors.RefusalError:
     return errors.RefusalError(
         errors.ErrorKind.RATE_LIMITED,
         f'the limit of {account.name} is reached',
-        retry_after_s=max(_LEAST_RETRY_S, retry_after_s),
+        retry_after_s=max(_MIN_RETRY_S, retry_after_s),
     )
 
 
-def _cancel(account: _Account) -> None:
+def _cancel_waiters(account: _Account) -> None:
     while account.waiters:
         account.waiters.popleft().done.cancel()
--- a/tests/test_usage_ownership.py
+++ b/tests/test_usage_ownership.py
@@ -84,14 +84,14 @@
         scene.servers.listed = ENGINES[1:]
         scene.clock.now_s += 5.0
         assert ENGINES[0].ip in scene.all()
-        scene.owners.note_silent(ENGINES[0].ip)
+        scene.owners.mark_unresponsive(ENGINES[0].ip)
         assert ENGINES[0].ip not in scene.all()
 
     def test_one_that_is_silent_and_listed_stays(self):
         """Guards against two owners of a limit while one is frozen."""
         scene = Scene(*ENGINES)
         before = scene.all()
-        scene.owners.note_silent(ENGINES[0].ip)
+        scene.owners.mark_unresponsive(ENGINES[0].ip)
         scene.clock.now_s += 5.0
         assert scene.all() == before
 
--- a/tests/usage_fakes.py
+++ b/tests/usage_fakes.py
@@ -30,7 +30,7 @@
     def owner(self, _organisation):
         return OWNER_IP
 
-    def note_silent(self, ip):
+    def mark_unresponsive(self, ip):
         self.silent += (ip,)
 
 
