--- a/benchmarks/usage.py
+++ b/benchmarks/usage.py
@@ -59,7 +59,7 @@
     def owner(self, _organisation):
         return '10.0.0.1'
 
-    def note_silent(self, _ip):
+    def mark_unresponsive(self, _ip):
         pass
 
 
--- a/tests/test_usage_lease.py
+++ b/tests/test_usage_lease.py
@@ -1,4 +1,4 @@
-"""The owner of an organisation's limit."""
+"""The owner of organisations' usage limits."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Scene:
-    """An owner, and entries that ask it."""
+    """An owner, and messages of entries to it."""
 
     def __init__(self):
         self.clock = clocks.ManualClock(100.0)
@@ -48,7 +48,7 @@
 
 
 class TestGrant:
-    def test_admits_what_there_is_enough_for(self, scene):
+    def test_admits_requests_whose_cost_is_available(self, scene):
         assert scene.ask(300.0, 200.0).admitted == (True, True)
 
     def test_a_small_one_is_admitted_behind_a_large_one(self, scene):
@@ -82,7 +82,7 @@
 
 class TestNewOwner:
     def test_begins_with_part_of_a_burst(self, scene):
-        """Guards against a full burst at each owner that starts anew."""
+        """Guards against a full burst at each start of an owner."""
         assert sum(scene.ask(*[1.0] * 5000).admitted) == BURST / 2
 
     def test_one_that_has_run_for_long_has_a_whole_burst(self, scene):
@@ -95,8 +95,8 @@
         scene.ask(1000.0)
         assert scene.ask(700.0, unused=800.0).admitted == (True,)
 
-    def test_a_message_that_comes_twice_gives_back_once(self, scene):
-        """Guards against tokens made by a transport that sends again."""
+    def test_a_repeated_message_is_credited_once(self, scene):
+        """Guards against a repeated message that is credited twice."""
         scene.ask(1000.0)
         scene.ask(800.0, unused=800.0)
         again = scene.ask(800.0, unused=800.0, sequence=scene.sequence)
@@ -117,15 +117,15 @@
         assert sum(scene.ask(*[1.0] * 900, **self.lowered).admitted) == 20
 
     def test_an_older_version_does_not_raise_it_again(self, scene):
-        """Guards against an entry that has not heard of the change yet."""
+        """Guards against an entry that does not have the change yet."""
         scene.ask(1.0, **self.lowered)
         scene.clock.now_s += 10.0
         assert sum(scene.ask(*[1.0] * 900, version=1).admitted) <= 20
 
 
-class TestUnreached:
+class TestUnreachableOwner:
     def test_all_entries_together_use_part_of_the_rate(self, scene):
-        """Guards against twice the limit while the owner is cut off."""
+        """Guards against twice the limit while the owner is unreachable."""
         rates = [
             scene.ask(1.0, entry=f'edge-{n}', used_per_s=used_per_s)
             for n, used_per_s in enumerate((100.0, 300.0, 0.0))
@@ -146,7 +146,7 @@
 
 
 class TestBounds:
-    def test_forgets_what_nobody_asked_for_longest(self, monkeypatch):
+    def test_evicts_the_least_recently_requested_limit(self, monkeypatch):
         monkeypatch.setattr(usage_lease, '_MAX_ORGANISATIONS', 2)
         scene = Scene()
         for name in ('a', 'b', 'c'):
--- a/tests/test_usage_limits.py
+++ b/tests/test_usage_limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations at entries that share one owner."""
+"""Limits of organisations at several entries with one owner."""
 
 import asyncio
 import random
@@ -20,12 +20,12 @@
 LIMIT = organisation.UsageLimit(RATE_PER_S, BURST, default_cost=200.0)
 BALCONY = organisation.Organisation('balcony', ('key-1',), limit=LIMIT)
 WINDOW_S = 8.0
-# What the owner's silence may add, in bursts.
+# Excess that an unreachable owner may cause, in bursts.
 SPARE_BURSTS = 2
 
 
 class Fleet:
-    """Entries that charge requests, and what was admitted when."""
+    """Entries that charge requests, and a record of admitted ones."""
 
     def __init__(self, entry_count=4):
         self.clock = virtual_time.LoopClock()
@@ -49,7 +49,7 @@
         return None
 
     async def load(self, per_s, length_s, pick, seed=1):
-        """Play calls at a rate, each at the entry that `pick` returns."""
+        """Send calls at a rate, each to the entry that `pick` returns."""
         source = random.Random(seed)
         until_s = self.clock.monotonic_s() + length_s
         calls = []
@@ -77,38 +77,38 @@
 class TestWithinLimit:
     @pytest.mark.parametrize('pick', [anywhere, at_one])
     def test_nobody_is_refused(self, pick):
-        async def play():
+        async def scenario():
             fleet = Fleet()
-            # Once it has run for a while, as at a fleet's start.
+            # A warm-up, as after the start of a fleet.
             await fleet.load(4.0, 2.0, pick)
             del fleet.refusals[:]
             await fleet.load(0.6 * RATE_PER_S / COST, 30.0, pick, seed=2)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         assert len(fleet.refusals) <= 0.01 * len(fleet.admitted)
 
     def test_no_message_is_sent_for_what_is_leased(self):
-        async def play():
+        async def scenario():
             fleet = Fleet()
             await fleet.load(0.5 * RATE_PER_S / COST, 20.0, at_one)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         assert len(fleet.link.messages) < len(fleet.admitted) / 2
 
     def test_one_without_a_limit_asks_nobody(self):
-        async def play():
+        async def scenario():
             fleet = Fleet()
             await fleet.call(0, organisation.Organisation('free'))
             await fleet.call(0, None)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         assert not fleet.link.messages
         assert len(fleet.admitted) == 2
 
-    def test_a_request_that_says_no_tokens_counts_as_stated(self):
+    def test_a_request_without_max_tokens_is_charged_the_default(self):
         assert LIMIT.cost(0, 0) == 200.0
         assert LIMIT.cost(1000, 80) == 1080.0
 
@@ -120,14 +120,14 @@
 class TestFlood:
     @pytest.mark.parametrize('pick', [anywhere, at_one])
     def test_is_held_to_the_limit(self, pick):
-        """Guards against a flood that each entry admits for itself."""
+        """Guards against entries that each admit the whole limit."""
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             await fleet.load(8.0 * RATE_PER_S / COST, 20.0, pick)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         limit = WINDOW_S * RATE_PER_S + BURST
         assert fleet.worst_window() <= limit
         assert sum(c for _, c in fleet.admitted) > 0.9 * 20.0 * RATE_PER_S
@@ -137,7 +137,7 @@
         assert all(0.0 < e.retry_after_s < 2.0 for e in fleet.refusals)
 
     def test_another_organisation_does_not_notice(self):
-        async def play():
+        async def scenario():
             fleet = Fleet()
             other = organisation.Organisation('garden', limit=LIMIT)
             flood = asyncio.create_task(
@@ -150,17 +150,17 @@
             await flood
             return kinds
 
-        assert not any(virtual_time.run(play()))
+        assert not any(virtual_time.run(scenario()))
 
 
 class TestRefunds:
     def test_what_did_not_run_is_given_back(self):
-        """Guards against refusals that use an organisation's limit up."""
+        """Guards against refused requests that use up the limit."""
 
         async def refuse():
             raise errors.RefusalError(errors.ErrorKind.QUEUE_FULL, 'full')
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             kinds = []
             for _ in range(40):
@@ -168,73 +168,73 @@
             kinds.append(await fleet.call(0))
             return kinds
 
-        kinds = virtual_time.run(play())
+        kinds = virtual_time.run(scenario())
         assert errors.ErrorKind.RATE_LIMITED not in kinds
         assert kinds[-1] is None
 
-    def test_what_may_have_run_is_not(self):
+    def test_what_may_have_run_is_not_given_back(self):
         async def lose():
             raise errors.RefusalError(
                 errors.ErrorKind.OUTCOME_UNKNOWN, 'no answer'
             )
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             return [await fleet.call(0, run=lose) for _ in range(40)]
 
-        assert errors.ErrorKind.RATE_LIMITED in virtual_time.run(play())
+        assert errors.ErrorKind.RATE_LIMITED in virtual_time.run(scenario())
 
 
-class TestSilentOwner:
+class TestUnreachableOwner:
     def test_requests_are_served_within_part_of_the_limit(self):
-        """Guards against an organisation refused as its owner is down."""
+        """Guards against refusals while the owner of the limit is down."""
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             await fleet.load(0.4 * RATE_PER_S / COST, 10.0, at_one)
             del fleet.refusals[:]
-            fleet.link.is_silent = True
+            fleet.link.is_unreachable = True
             admitted_before = len(fleet.admitted)
             await fleet.load(0.4 * RATE_PER_S / COST, 10.0, at_one, seed=3)
             return fleet, len(fleet.admitted) - admitted_before
 
-        fleet, admitted = virtual_time.run(play())
+        fleet, admitted = virtual_time.run(scenario())
         assert len(fleet.refusals) < 0.2 * admitted
 
     @pytest.mark.proves(Promise.LIMITS, Fault.PARTITION, Step.BEFORE_ADMISSION)
     def test_a_flood_stays_within_the_limit(self):
-        """Guards against a full limit at each entry of a partition."""
+        """Guards against the full limit at each entry of a partition."""
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             flood = 8.0 * RATE_PER_S / COST
             await fleet.load(flood, 10.0, anywhere)
-            fleet.link.is_silent = True
+            fleet.link.is_unreachable = True
             await fleet.load(flood, 10.0, anywhere, seed=2)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         limit = WINDOW_S * RATE_PER_S + SPARE_BURSTS * BURST
         assert fleet.worst_window() <= limit
 
     def test_requests_do_not_wait_for_it_one_by_one(self):
-        async def play():
+        async def scenario():
             fleet = Fleet()
-            fleet.link.is_silent = True
+            fleet.link.is_unreachable = True
             began_s = fleet.clock.monotonic_s()
             for _ in range(50):
                 await fleet.call(0)
             return fleet.clock.monotonic_s() - began_s, fleet
 
-        took_s, fleet = virtual_time.run(play())
+        took_s, fleet = virtual_time.run(scenario())
         assert took_s < 1.0
         assert len(fleet.link.messages) == 1
 
     @pytest.mark.proves(Promise.LIMITS, Fault.KILLED, Step.BEFORE_ADMISSION)
-    def test_an_owner_that_starts_anew_gives_no_second_burst(self):
+    def test_a_restarted_owner_grants_no_second_burst(self):
         """Guards against a full burst at each restart of the owner."""
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             flood = 8.0 * RATE_PER_S / COST
             await fleet.load(flood, 6.0, anywhere)
@@ -242,16 +242,16 @@
             await fleet.load(flood, 6.0, anywhere, seed=2)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         limit = WINDOW_S * RATE_PER_S + SPARE_BURSTS * BURST
         assert fleet.worst_window() <= limit
 
 
 class TestChangedLimit:
     def test_a_lowered_limit_binds(self):
-        """Guards against what was leased under the limit before."""
+        """Guards against the use of units leased under the old limit."""
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             await fleet.load(4.0, 5.0, anywhere)
             lowered = organisation.Organisation(
@@ -264,16 +264,16 @@
                 await fleet.call(0, lowered, cost=50)
             return fleet
 
-        fleet = virtual_time.run(play())
+        fleet = virtual_time.run(scenario())
         used = sum(c for at_s, c in fleet.admitted if c == 50)
         assert used <= 2.5 * 100.0 + 100.0
 
 
-class TestCallerThatLeaves:
+class TestCallerThatDisconnects:
     def test_does_not_stop_those_behind_it(self):
-        """Guards against requests that wait for a caller who has left."""
+        """Guards against requests that wait for a disconnected caller."""
 
-        async def play():
+        async def scenario():
             fleet = Fleet()
             first = asyncio.create_task(fleet.call(0))
             second = asyncio.create_task(fleet.call(0))
@@ -282,4 +282,4 @@
             async with asyncio.timeout(1.0):
                 return await second
 
-        assert virtual_time.run(play()) is None
+        assert virtual_time.run(scenario()) is None
--- a/tests/test_usage_ownership.py
+++ b/tests/test_usage_ownership.py
@@ -1,4 +1,4 @@
-"""Which sidecar owns the limit of an organisation."""
+"""Ownership of organisations' limits by sidecars."""
 
 import collections
 import dataclasses
@@ -36,7 +36,7 @@
 
 
 def assert_only_moved_from(ip, before, after):
-    """Check that the limits of one owner, and no others, have moved."""
+    """Check that the limits of one owner, and no others, moved."""
     assert ip not in after
     moved = [a for a, b in zip(after, before, strict=True) if a != b]
     assert len(moved) == before.count(ip)
@@ -51,7 +51,7 @@
         assert Scene(PLAIN).owners.owner('a') == ''
         assert PLAIN.ip not in Scene(*ENGINES, PLAIN).all()
 
-    def test_limits_are_spread(self):
+    def test_limits_are_distributed(self):
         counts = collections.Counter(Scene(*ENGINES).all())
         assert len(counts) == len(ENGINES)
         assert max(counts.values()) < len(NAMES) / 2
@@ -68,8 +68,8 @@
         scene.clock.now_s += 5.0
         assert scene.all() == before
 
-    def test_another_takes_over_from_one_that_leaves(self):
-        """Guards against limits whose owner ends with its engine."""
+    def test_a_leaving_owner_is_replaced(self):
+        """Guards against limits whose owner ends along with its engine."""
         scene = Scene(*ENGINES)
         before = scene.all()
         leaving = dataclasses.replace(ENGINES[0], is_leaving=True)
@@ -77,8 +77,8 @@
         scene.clock.now_s += 1.0
         assert_only_moved_from(ENGINES[0].ip, before, scene.all())
 
-    def test_another_takes_over_from_one_that_is_silent_and_unlisted(self):
-        """Guards against limits that wait for an owner that is gone."""
+    def test_an_unresponsive_unlisted_owner_is_replaced(self):
+        """Guards against requests that wait for an owner that has ended."""
         scene = Scene(*ENGINES)
         scene.all()
         scene.servers.listed = ENGINES[1:]
@@ -87,15 +87,15 @@
         scene.owners.mark_unresponsive(ENGINES[0].ip)
         assert ENGINES[0].ip not in scene.all()
 
-    def test_one_that_is_silent_and_listed_stays(self):
-        """Guards against two owners of a limit while one is frozen."""
+    def test_an_unresponsive_listed_owner_stays(self):
+        """Guards against a second owner while the first is paused."""
         scene = Scene(*ENGINES)
         before = scene.all()
         scene.owners.mark_unresponsive(ENGINES[0].ip)
         scene.clock.now_s += 5.0
         assert scene.all() == before
 
-    def test_another_takes_over_once_it_is_gone_for_good(self):
+    def test_an_owner_unlisted_for_long_is_replaced(self):
         scene = Scene(*ENGINES)
         before = scene.all()
         scene.servers.listed = ENGINES[1:]
--- a/tests/usage_fakes.py
+++ b/tests/usage_fakes.py
@@ -1,4 +1,4 @@
-"""An owner of limits without a network, and entries that ask it."""
+"""Usage limits of entries with one owner, without a network."""
 
 from lacewingpitch import errors
 from lacewingpitch import usage_lease
@@ -8,16 +8,16 @@
 
 
 class Link:
-    """Messages to one owner, who may be silent."""
+    """Messages to one owner, which may not answer."""
 
     def __init__(self, clock):
         self.owner = usage_lease.UsageOwner(clock)
-        self.is_silent = False
+        self.is_unreachable = False
         self.messages = []
 
     async def ask_usage(self, _ip, message, _timeout_s):
         self.messages.append(message)
-        if self.is_silent:
+        if self.is_unreachable:
             raise errors.NoReplyError('silent')
         return await self.owner.grant(message)
 
@@ -25,13 +25,13 @@
 class OneOwner:
     """Every limit is owned by the same process."""
 
-    silent = ()
+    unresponsive = ()
 
     def owner(self, _organisation):
         return OWNER_IP
 
     def mark_unresponsive(self, ip):
-        self.silent += (ip,)
+        self.unresponsive += (ip,)
 
 
 def limits(link, clock, instance='edge-1', entry_count=30, version=1):
