--- a/lacewingpitch/contract_registry.py
+++ b/lacewingpitch/contract_registry.py
@@ -1,4 +1,4 @@
-"""The contracts in force at one instance."""
+"""The contracts in force at one instance, and the versions known of all."""
 
 import collections
 from collections.abc import Iterable
@@ -17,9 +17,9 @@
 
 
 class ContractRegistry:
-    """The contracts in force, each at the highest version seen.
+    """Stores each customer's contract at the highest known version.
 
-    A version may be known before its contract: the contract held is then
+    A version may be known before its contract.  The stored contract is then
     outdated, and not in force.
 
     `changes` emits every contract that comes into force.
@@ -27,8 +27,9 @@
     Parameters
     ----------
     capacity_contracts
-        How many contracts to hold, the last to change; all if ``None``.
-        Versions are held of all customers.
+        The most contracts to store; the most recently changed ones are
+        kept.  All are stored if ``None``.  Versions are always stored of
+        all customers.
     """
 
     def __init__(self, capacity_contracts: int | None = None) -> None:
@@ -40,7 +41,7 @@
         self._contracts: collections.OrderedDict[
             str, contract_module.Contract
         ] = collections.OrderedDict()
-        self._by_digest: dict[str, tuple[str, ...]] = {}
+        self._customers_by_digest: dict[str, tuple[str, ...]] = {}
         self._outdated: set[str] = set()
         self._changes: reactivex.subject.Subject[contract_module.Contract] = (
             reactivex.subject.Subject()
@@ -53,56 +54,60 @@
 
     @property
     def holds_all(self) -> bool:
-        """Whether it holds every contract, not only the last to change."""
+        """Whether every contract is stored, not only the last to change."""
         return self._capacity_contracts is None
 
     @property
     def outdated(self) -> frozenset[str]:
-        """Return customers whose contract in force is not held here."""
+        """Return the customers whose contract in force isn't stored."""
         return frozenset(self._outdated)
 
     def __len__(self) -> int:
         return len(self._contracts)
 
     def contract(self, customer: str) -> contract_module.Contract | None:
-        """Return the contract of a customer."""
+        """Return the stored contract of a customer, if there is one."""
         return self._contracts.get(customer)
 
     def revision(self, customer: str) -> int:
-        """Return the highest revision seen of a customer, 0 if none."""
+        """Return the highest known revision of a customer; 0 if none."""
         return self.versions.version(customer).revision
 
     def authenticate(self, api_key: str) -> contract_module.Contract:
         """Return the contract that lists an API key.
 
-        Only the key's digest is looked up, so the time that it takes
-        says nothing of a key.
+        Only the key's digest is looked up, so the response time reveals
+        nothing about existing keys.
 
         Raises
         ------
         RefusalError
             No contract lists the key, several do, or the contract is
-            revoked or not the newest.
+            revoked or outdated.
         """
         digest = contract_module.digest_key(api_key)
-        claims = [self._contracts[c] for c in self._by_digest.get(digest, ())]
-        if not claims:
+        customers_of_key = [
+            self._contracts[c]
+            for c in self._customers_by_digest.get(digest, ())
+        ]
+        if not customers_of_key:
             raise self._unknown_key()
-        current = [c for c in claims if not c.revoked]
-        # The same key in two customers' contracts, by an operator's slip,
-        # would let whoever came last answer for the other.  No order in
-        # which instances read them is the same everywhere, so neither is
-        # served with that key until the contracts are mended.
+        current = [c for c in customers_of_key if not c.revoked]
+        # An operator may list the same key in two customers' contracts by
+        # mistake.  If the last one read had the key, requests would be
+        # charged to the wrong customer, and instances that read them in
+        # different orders would disagree.  So the key is refused until the
+        # contracts are corrected.
         if len(current) > 1:
             raise errors.RefusalError(
                 errors.ErrorKind.UNAUTHENTICATED,
                 'more than one contract lists the API key',
             )
-        found = current[0] if current else claims[0]
+        found = current[0] if current else customers_of_key[0]
         if found.customer in self._outdated:
             raise errors.RefusalError(
                 errors.ErrorKind.CONTRACT_OUTDATED,
-                'a newer contract is known but not yet here',
+                'a newer version of the contract is known but not yet here',
             )
         if found.revoked:
             raise errors.RefusalError(
@@ -111,7 +116,7 @@
         return found
 
     def accept(self, contract: contract_module.Contract) -> bool:
-        """Put a contract in force unless a newer one is known.
+        """Put a contract in force unless a newer version is known.
 
         Returns
         -------
@@ -120,37 +125,43 @@
         """
         customer = contract.customer
         version = contract_versions.version_of(contract)
-        # The configuration service may fall back to an old state, and a
-        # peer may be behind.  A version below the highest seen would
-        # bring a revoked right back, so it is passed over.
+        # The configuration service may return to an old state, and a peer
+        # may have old contracts.  A version below the highest known one
+        # could restore a revoked right, so it is ignored.
         if version < self.versions.version(customer):
             self.stale_count += 1
             self._check_conflict(contract)
-            self._hold_outdated(contract)
+            self._store_outdated(contract)
             return False
-        is_new = self.versions.raise_to(customer, version)
+        is_new = self.versions.advance(customer, version)
         if not is_new and customer not in self._outdated:
             return False
         self._outdated.discard(customer)
         self.conflicts.pop(customer, None)
         self._check_conflict(contract)
-        self._hold(contract)
+        self._store(contract)
         self._changes.on_next(contract)
         return True
 
     def record_version(
         self, customer: str, version: contract_versions.ContractVersion
     ) -> None:
-        """Note that a version is out, though its contract is not here."""
-        if not self.versions.raise_to(customer, version):
+        """Record that a version exists whose contract isn't here yet."""
+        if not self.versions.advance(customer, version):
             return
         if self.holds_all:
             self._outdated.add(customer)
         else:
-            self._drop(customer)
+            self._remove(customer)
 
     def accept_json(self, data: bytes | msgspec.Raw, source: str) -> bool:
-        """Put a published contract in force, or keep the last good one."""
+        """Decode and accept a contract; an invalid one changes nothing.
+
+        Returns
+        -------
+        bool
+            Whether it came into force.
+        """
         try:
             contract = decoding.decode_json(
                 bytes(data), contract_module.Contract, source
@@ -163,12 +174,12 @@
         return self.accept(contract)
 
     def forget_rejected(self, prefix: str) -> None:
-        """Forget what was rejected from sources named with `prefix`."""
+        """Drop the rejections of sources whose names start with `prefix`."""
         for source in [s for s in self.rejected if s.startswith(prefix)]:
             del self.rejected[source]
 
     def encoded(self, customers: Iterable[str]) -> list[bytes]:
-        """Return those contracts of `customers` that are in force here."""
+        """Return the encoded contracts of `customers` that are in force."""
         return [
             contract_versions.encode(self._contracts[customer])
             for customer in customers
@@ -176,33 +187,33 @@
         ]
 
     def check_revision(self, customer: str, revision: int) -> None:
-        """Refuse an order made under a contract that is not the newest.
+        """Refuse a request that was admitted under an outdated contract.
 
         Raises
         ------
         RefusalError
             A higher revision of the customer's contract is known here.
         """
-        known = self.revision(customer)
-        # An entry that was paused, or cut off, still admits a customer
-        # whose contract was revoked meanwhile.  Here it meets a process
-        # that knows, and catches up before the request can run.
-        if known > revision:
+        known_revision = self.revision(customer)
+        # An entry that was paused or partitioned off still admits customers
+        # whose contracts were revoked meanwhile.  This refusal makes it
+        # fetch the newer contract before the request can run.
+        if known_revision > revision:
             raise errors.RefusalError(
                 errors.ErrorKind.CONTRACT_OUTDATED,
-                f'revision {known} of the contract is in force',
+                f'revision {known_revision} of the contract is in force',
             )
         self.record_version(
             customer, contract_versions.ContractVersion(revision)
         )
 
     def check_revoked(self, customer: str) -> None:
-        """Refuse work of a customer whose contract is revoked.
+        """Refuse requests of a customer whose contract is revoked.
 
         Raises
         ------
         RefusalError
-            The newest version known is a revocation.
+            The contract is revoked at its highest known version.
         """
         if self.versions.version(customer).is_revoked:
             raise errors.RefusalError(
@@ -213,50 +224,56 @@
         if self.outdated:
             return errors.RefusalError(
                 errors.ErrorKind.CONTRACT_OUTDATED,
-                'unknown API key, but not every contract is here',
+                'unknown API key, but some contracts are not yet here',
             )
         return errors.RefusalError(
             errors.ErrorKind.UNAUTHENTICATED, 'unknown API key'
         )
 
-    def _hold_outdated(self, contract: contract_module.Contract) -> None:
-        # Its keys are needed to tell an outdated contract from an unknown
-        # key; it is never returned by `authenticate`.
+    def _store_outdated(self, contract: contract_module.Contract) -> None:
+        # The keys of an outdated contract are needed to distinguish it from
+        # an unknown key; `authenticate` never returns it.
         if self.holds_all and contract.customer not in self._contracts:
-            self._hold(contract)
+            self._store(contract)
 
-    def _hold(self, contract: contract_module.Contract) -> None:
-        self._drop(contract.customer)
+    def _store(self, contract: contract_module.Contract) -> None:
+        self._remove(contract.customer)
         self._contracts[contract.customer] = contract
         for digest in set(contract.key_digests):
-            claims = self._by_digest.get(digest, ())
-            self._by_digest[digest] = (*claims, contract.customer)
-            if claims:
-                self._report(contract.customer, f'key also of {claims}')
+            customers_of_key = self._customers_by_digest.get(digest, ())
+            self._customers_by_digest[digest] = (
+                *customers_of_key,
+                contract.customer,
+            )
+            if customers_of_key:
+                self._record_conflict(
+                    contract.customer,
+                    f'API key also listed by {customers_of_key}',
+                )
         capacity = self._capacity_contracts
         while capacity is not None and len(self._contracts) > capacity:
-            self._drop(next(iter(self._contracts)))
+            self._remove(next(iter(self._contracts)))
 
-    def _drop(self, customer: str) -> None:
-        held = self._contracts.pop(customer, None)
-        if held is None:
+    def _remove(self, customer: str) -> None:
+        stored = self._contracts.pop(customer, None)
+        if stored is None:
             return
-        for digest in set(held.key_digests):
-            claims = self._by_digest.pop(digest)
-            rest = tuple(c for c in claims if c != customer)
+        for digest in set(stored.key_digests):
+            customers_of_key = self._customers_by_digest.pop(digest)
+            rest = tuple(c for c in customers_of_key if c != customer)
             if rest:
-                self._by_digest[digest] = rest
+                self._customers_by_digest[digest] = rest
 
     def _check_conflict(self, contract: contract_module.Contract) -> None:
-        held = self._contracts.get(contract.customer)
-        if held is None or held.revision != contract.revision:
+        stored = self._contracts.get(contract.customer)
+        if stored is None or stored.revision != contract.revision:
             return
-        if held != contract:
-            self._report(
+        if stored != contract:
+            self._record_conflict(
                 contract.customer,
-                f'two contents of revision {contract.revision}',
+                f'two different contracts of revision {contract.revision}',
             )
 
-    def _report(self, customer: str, reason: str) -> None:
+    def _record_conflict(self, customer: str, reason: str) -> None:
         self.conflicts[customer] = reason
         log.error('contracts conflict', customer=customer, reason=reason)
--- a/lacewingpitch/contract_versions.py
+++ b/lacewingpitch/contract_versions.py
@@ -1,4 +1,8 @@
-"""Which version of each customer's contract is the highest seen."""
+"""Versions of contracts, and a table of the highest known ones.
+
+The table has hashes over all versions, with which two processes find the
+customers whose versions differ.
+"""
 
 from collections.abc import Iterable
 import functools
@@ -17,14 +21,15 @@
 class ContractVersion(
     msgspec.Struct, frozen=True, order=True, array_like=True
 ):
-    """What orders two contracts of one customer.
+    """Orders the contracts of one customer.
 
     Parameters
     ----------
     revision
-        The operators' number.
+        The number that operators give.
     rank
-        Orders two contents of one revision; 0 if the content is unknown.
+        Orders different contents of one revision; 0 if the content is
+        unknown.
     """
 
     revision: int = 0
@@ -37,7 +42,7 @@
 
 
 class CustomerVersion(msgspec.Struct, frozen=True, array_like=True):
-    """The highest version known of one customer."""
+    """The highest known version of one customer's contract."""
 
     customer: str
     version: ContractVersion
@@ -50,8 +55,8 @@
     """Return the version of a contract.
 
     Two operators may publish different contents under one revision.  All
-    processes must pick the same one whatever the order in which they see
-    them, so contents are ordered: a revoked one first, then by hash.
+    processes must choose the same one, in whatever order they get them.  So
+    contents are ordered: a revoked one wins, then the higher hash.
     """
     rank = xxhash.xxh3_64_intdigest(encode(contract)) >> 1
     if contract.revoked:
@@ -60,20 +65,20 @@
 
 
 def encode(contract: contract_module.Contract) -> bytes:
-    """Return a contract as JSON without fields that hold their default.
+    """Return a contract as JSON, without fields that have default values.
 
-    A field that a newer release adds then changes no rank, and no older
-    release rejects the contract, until an operator sets the field.
+    A field that a newer release adds then doesn't change the rank, nor
+    makes an older release reject the contract, until an operator sets it.
     """
-    return msgspec.json.encode(_without_defaults(contract))
+    return msgspec.json.encode(_non_default_fields(contract))
 
 
 class VersionTable:
-    """The highest version seen of every customer, with hashes over them.
+    """The highest known version of every customer, with hashes over them.
 
-    Each customer lies in one of `LEAF_COUNT` leaves.  Two tables are
-    equal if their leaves are, so two processes find what differs with few
-    bytes.
+    It is a hash tree of two levels: each customer belongs to one of
+    `LEAF_COUNT` leaves.  Two tables are equal if their leaves' hashes are,
+    so two processes find the differences with few bytes.
     """
 
     def __init__(self) -> None:
@@ -86,19 +91,25 @@
 
     @property
     def root(self) -> int:
-        """Return one hash over all leaves."""
+        """Return one hash over the hashes of all leaves."""
         return xxhash.xxh3_64_intdigest(self.leaves())
 
     def leaves(self) -> bytes:
-        """Return the hash of each leaf, one after the other."""
+        """Return the concatenated hashes of all leaves."""
         return b''.join(h.to_bytes(_HASH_BYTES, 'big') for h in self._leaves)
 
     def version(self, customer: str) -> ContractVersion:
-        """Return the highest version seen of a customer."""
+        """Return the highest known version; `NO_VERSION` if none is."""
         return self._versions.get(customer, NO_VERSION)
 
-    def raise_to(self, customer: str, version: ContractVersion) -> bool:
-        """Note a version; return whether it is higher than any before."""
+    def advance(self, customer: str, version: ContractVersion) -> bool:
+        """Record a version if it is higher than the known one.
+
+        Returns
+        -------
+        bool
+            Whether it was higher.
+        """
         found = self._versions.get(customer, NO_VERSION)
         if version <= found:
             return False
@@ -111,7 +122,14 @@
         return True
 
     def differing_leaves(self, leaves: bytes) -> list[int]:
-        """Return the leaves whose hash in another table differs."""
+        """Return the numbers of the leaves that differ in another table.
+
+        Parameters
+        ----------
+        leaves
+            Hashes of the other table's leaves; with another length, all
+            leaves count as different.
+        """
         if len(leaves) != LEAF_COUNT * _HASH_BYTES:
             return list(range(LEAF_COUNT))
         own = self.leaves()
@@ -122,7 +140,7 @@
         ]
 
     def in_leaves(self, leaves: Iterable[int]) -> tuple[CustomerVersion, ...]:
-        """Return the versions in some leaves."""
+        """Return the versions of all customers in some leaves."""
         return tuple(
             CustomerVersion(customer, self._versions[customer])
             for leaf in leaves
@@ -131,14 +149,14 @@
         )
 
 
-def _without_defaults(value: Any) -> Any:
+def _non_default_fields(value: Any) -> Any:
     if isinstance(value, tuple):
-        return [_without_defaults(item) for item in value]
+        return [_non_default_fields(item) for item in value]
     if not isinstance(value, msgspec.Struct):
         return value
     defaults = _defaults(type(value))
     return {
-        name: _without_defaults(getattr(value, name))
+        name: _non_default_fields(getattr(value, name))
         for name, default in defaults.items()
         if getattr(value, name) != default
     }
