--- a/lacewingpitch/usage_limits.py
+++ b/lacewingpitch/usage_limits.py
@@ -267,7 +267,9 @@
                 self._clock.monotonic_s() + _UNRESPONSIVE_S
             )
             self._owners.mark_unresponsive(owner)
-            log.warning('limit owner unreachable', ip=owner, error=str(error))
+            log.warning(
+                'usage limit owner unreachable', ip=owner, error=str(error)
+            )
         except BaseException:
             for account in accounts:
                 _cancel_waiters(account)
--- a/tests/contract_fakes.py
+++ b/tests/contract_fakes.py
@@ -84,7 +84,7 @@
             self.clock,
             self.name,
             seed=1,
-            settle_s=2.0,
+            settle_timeout_s=2.0,
         )
         self.handlers = {}
         self.gossip.register(self)
--- a/tests/test_contract_gossip.py
+++ b/tests/test_contract_gossip.py
@@ -25,10 +25,10 @@
         one, other = fleet.nodes
         fill(one, 300)
         fill(other, 20, revision=2)
-        await one.gossip.compare(other.instance)
+        await one.gossip.reconcile(other.instance)
         assert one.registry.revision('customer-7') == 2
         for _ in range(5):
-            await one.gossip.compare(other.instance)
+            await one.gossip.reconcile(other.instance)
         assert other.registry.revision('customer-299') == 1
         assert one.registry.versions.root == other.registry.versions.root
 
@@ -36,7 +36,7 @@
         fleet = contract_fakes.Fleet(ENTRY, ENTRY)
         for node in fleet.nodes:
             fill(node, 300)
-        await fleet.nodes[0].gossip.compare(fleet.nodes[1].instance)
+        await fleet.nodes[0].gossip.reconcile(fleet.nodes[1].instance)
         assert len(fleet.sent_bytes) == 2
         assert sum(fleet.sent_bytes) < 200
 
@@ -53,7 +53,7 @@
         one, other = fleet.nodes
         keys = tuple(f'key-{number}' for number in range(3000))
         fill(other, 12, keys=keys)
-        await one.gossip.compare(other.instance)
+        await one.gossip.reconcile(other.instance)
         assert len(one.registry) == 12
         assert not one.registry.outdated
         assert max(fleet.sent_bytes) < 1 << 20
@@ -112,8 +112,8 @@
         elected = next(n for n in fleet.nodes if n.gossip.is_watcher)
         other = next(n for n in fleet.nodes if not n.gossip.is_watcher)
         elected.gossip.record_read(fleet.clock.now_s)
-        fleet.clock.now_s += contract_gossip.WATCHER_SILENCE_S - 1
-        await other.gossip.compare(elected.instance)
+        fleet.clock.now_s += contract_gossip.WATCHER_TIMEOUT_S - 1
+        await other.gossip.reconcile(elected.instance)
         assert not other.gossip.must_watch
         fleet.clock.now_s += 2
         assert other.gossip.must_watch
@@ -121,7 +121,7 @@
         assert other.gossip.status.view_age_s == 0
         assert other.gossip.must_watch
         elected.gossip.record_read(fleet.clock.now_s)
-        await other.gossip.compare(elected.instance)
+        await other.gossip.reconcile(elected.instance)
         assert not other.gossip.must_watch
 
     def test_instance_that_is_not_listed_watches(self):
--- a/tests/test_contract_registry.py
+++ b/tests/test_contract_registry.py
@@ -302,7 +302,7 @@
     def _compare(self, one, other):
         nodes = self.fleet.nodes
         try:
-            self.runner.run(nodes[one].gossip.compare(nodes[other].instance))
+            self.runner.run(nodes[one].gossip.reconcile(nodes[other].instance))
         except errors.LinkError:
             assert frozenset((one, other)) in self.fleet.cut
 
