--- a/lacewingpitch/contract.py
+++ b/lacewingpitch/contract.py
@@ -1,4 +1,4 @@
-"""A customer's contract: what it may call, how much, and how urgently."""
+"""A customer's contract: its rights, limits, urgency and objective."""
 
 import enum
 import hashlib
@@ -8,7 +8,7 @@
 
 from lacewingpitch import decoding
 
-# `\Z` and not `$`, which would let a name end in a line break.
+# The pattern ends in `\Z`, as `$` also matches before a final line break.
 Name = Annotated[
     str,
     msgspec.Meta(
@@ -22,7 +22,7 @@
 
 
 class Urgency(enum.StrEnum):
-    """How soon a customer's requests matter."""
+    """Priority class of a customer's requests."""
 
     INTERACTIVE = 'interactive'
     STANDARD = 'standard'
@@ -30,18 +30,18 @@
 
 
 class AdapterGrant(decoding.Record, frozen=True):
-    """One adapter, at one version, that the customer may call.
+    """The right to call one adapter at one version.
 
     Parameters
     ----------
     name
-        Adapter's name, as the caller gives it in ``model``.
+        Adapter's name, as callers send it in ``model``.
     version
-        The only version that requests of this revision run on.
+        The only version that requests under this revision run on.
     base_model
-        Model whose engines can hold the adapter.
+        Model whose engines can load the adapter.
     repeatable
-        Whether a request may run more than once.
+        Whether requests are idempotent, so that one may run more than once.
     """
 
     name: Name
@@ -51,19 +51,35 @@
 
     @property
     def engine_name(self) -> str:
-        """Return the model name under which engines know the adapter."""
+        """Return the model name of the adapter at engines."""
         return f'{self.name}@{self.version}'
 
 
 class ServiceGrant(decoding.Record, frozen=True):
-    """One plain service that the customer may call."""
+    """The right to call one plain service, which has no adapters.
+
+    Parameters
+    ----------
+    repeatable_methods
+        Methods of which a request may run more than once.
+    """
 
     name: Name
     repeatable_methods: tuple[str, ...] = ('GET', 'HEAD', 'OPTIONS')
 
 
 class Limits(decoding.Record, frozen=True):
-    """How much work the customer may send, over all entry instances."""
+    """The customer's limits, for all entry instances together.
+
+    Parameters
+    ----------
+    burst_requests
+        Requests admitted at once after a time without requests.
+    concurrent_requests
+        Requests that run at the same time.
+    queued_requests
+        Requests that wait for others of the customer to end.
+    """
 
     requests_per_s: PositiveFloat = 10.0
     burst_requests: PositiveInt = 20
@@ -73,7 +89,17 @@
 
 
 class Objective(decoding.Record, frozen=True):
-    """The service-level objective that the burn report measures."""
+    """The service-level objective, of which burn rates are reported.
+
+    Parameters
+    ----------
+    first_token_s
+        Time until the first token of an answer.
+    between_tokens_s
+        Time between two tokens of an answer.
+    served_ratio
+        Ratio of the requests that are to be served.
+    """
 
     first_token_s: PositiveFloat = 0.55
     between_tokens_s: PositiveFloat = 0.041
@@ -86,17 +112,18 @@
     Parameters
     ----------
     customer
-        Identifies the customer everywhere.
+        Name that identifies the customer in the whole system.
     revision
-        The highest revision seen wins, everywhere and for good.
+        The highest known revision is in force; lower ones are ignored.
     key_digests
         SHA-256 of each API key, in lower-case hexadecimal.
     revoked
-        A revoked contract refuses everything.
+        With a revoked contract, all requests are refused.
     deadline_s
-        Time within which a request starts its answer or is refused.
+        Time within which the answer to a request starts, or the request is
+        refused.
     weight
-        Share of a backend server under overload, against the others.
+        Relative share of a backend server's capacity under overload.
     """
 
     customer: Name
@@ -129,10 +156,10 @@
 def customer_of(data: bytes | msgspec.Raw) -> str:
     """Return the customer of an encoded contract; empty if unreadable."""
     try:
-        return msgspec.json.decode(data, type=_Head).customer
+        return msgspec.json.decode(data, type=_CustomerField).customer
     except msgspec.DecodeError:
         return ''
 
 
-class _Head(msgspec.Struct, frozen=True):
+class _CustomerField(msgspec.Struct, frozen=True):
     customer: str = ''
--- a/lacewingpitch/contract_diff.py
+++ b/lacewingpitch/contract_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two sets of contracts, and may not be published."""
+"""Compares two sets of contracts before the newer one is published."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ContractChange:
-    """What differs in one customer's contract.
+    """The difference between two contracts of one customer.
 
     Parameters
     ----------
     changes
         One line for each field that differs.
     problems
-        Why this change must not be published; empty if it may be.
+        Reasons not to publish the change; empty if there are none.
     """
 
     customer: str
@@ -31,7 +31,10 @@
     old: Iterable[contract_module.Contract],
     new: Iterable[contract_module.Contract],
 ) -> list[ContractChange]:
-    """Return the customers whose contracts differ, by name."""
+    """Return the changes of all customers whose contracts differ.
+
+    They are sorted by the customers' names.
+    """
     before = {contract.customer: contract for contract in old}
     after = {contract.customer: contract for contract in new}
     found = [
@@ -67,13 +70,13 @@
 ) -> tuple[str, ...]:
     if new.revision < old.revision:
         return (
-            f'revision fell from {old.revision} to {new.revision}:'
-            ' it would be passed over',
+            f'revision decreased from {old.revision} to {new.revision}:'
+            ' the change would be ignored',
         )
     if new.revision == old.revision and new != old:
         return (
             f'revision stayed {old.revision} while the content changed:'
-            ' it would be passed over',
+            ' the change would be ignored',
         )
     return ()
 
@@ -107,7 +110,7 @@
 
 
 def _plain(value: Any) -> Any:
-    """Return a contract as mappings, its grants under their names."""
+    """Return a contract as nested mappings, with grants by their names."""
     if isinstance(value, msgspec.Struct):
         fields = msgspec.structs.asdict(value)
         return {name: _plain(part) for name, part in fields.items()}
--- a/lacewingpitch/contract_files.py
+++ b/lacewingpitch/contract_files.py
@@ -1,7 +1,8 @@
-"""Contracts as operators keep them: one JSON file for each customer.
+"""Reads contract files and renders them for the configuration service.
 
-From a folder of such files come the values to publish at the
-configuration service: shards of contracts, and an index of the shards.
+Operators keep one JSON file for each customer.  A folder of such files is
+rendered to the values to publish: shards of contracts, and an index of the
+shards.
 """
 
 from collections.abc import Iterable
@@ -23,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishedValue:
-    """One value for the configuration service."""
+    """One named value to publish at the configuration service."""
 
     name: str
     content: bytes
@@ -35,7 +36,8 @@
     Raises
     ------
     SettingsError
-        A contract is wrong, or clashes with another; names them all.
+        A contract is invalid, or conflicts with another; the text lists
+        all problems.
     """
     checked = checking.check_paths([path])
     problems = [str(p) for item in checked for p in item.problems]
@@ -63,7 +65,7 @@
     Raises
     ------
     SettingsError
-        A value would be larger than the configuration service takes.
+        A value is larger than the configuration service accepts.
     """
     shards: dict[str, list[contract_module.Contract]] = {}
     for contract in sorted(contracts, key=lambda c: c.customer):
@@ -81,7 +83,7 @@
             for name in sorted(shards)
         )
     )
-    # The index comes last: whoever reads it finds the shards it names.
+    # The index comes last, so that its readers find all shards in it.
     values.append(
         PublishedValue(published_contracts.INDEX_NAME, _encode(index))
     )
@@ -91,8 +93,8 @@
 
 
 def _encode_shard(contracts: list[contract_module.Contract]) -> bytes:
-    # With its revision inside, a reader tells a shard that lags behind
-    # the index from the one that the index names.
+    # The shard contains its revision, by which a reader detects that it is
+    # older than the one in the index.
     revision = _shard_revision(contracts)
     return _encode({'revision': revision, 'contracts': contracts})
 
@@ -116,17 +118,17 @@
 def shard_name(customer: str, shard_count: int) -> str:
     """Return the name of the value that holds a customer's contract."""
     number = xxhash.xxh64_intdigest(customer.encode()) % shard_count
-    # With the count in the name, another count gives new names.  Under
-    # the old names a shard's revision could fall, and readers would pass
-    # over its next change.
+    # The name contains the count, so that another count gives new names.
+    # Under the old names, a shard's revision could decrease, and readers
+    # would ignore its next change.
     return f'contracts.{number}-of-{shard_count}'
 
 
 def _shard_revision(contracts: Iterable[contract_module.Contract]) -> int:
-    """Return a number that rises with every change of a shard.
+    """Return a number that increases with every change of a shard.
 
-    Contracts are neither removed nor set back, so each change, and each
-    customer that is added, raises the sum of their revisions.
+    Contracts aren't removed, and their revisions don't decrease.  So each
+    change and each new customer increases the sum of the revisions.
     """
     return sum(contract.revision for contract in contracts)
 
@@ -139,6 +141,6 @@
     limit_bytes = config_service.MAX_VALUE_BYTES
     if len(value.content) > limit_bytes:
         raise errors.SettingsError(
-            f'{value.name}: {len(value.content)} bytes, allowed are'
-            f' {limit_bytes}: render with more shards'
+            f'{value.name}: {len(value.content)} bytes exceed the limit of'
+            f' {limit_bytes} bytes: render with more shards'
         )
