--- a/tests/contract_fakes.py
+++ b/tests/contract_fakes.py
@@ -15,7 +15,7 @@
 
 
 class FakeService:
-    """Values that tests set; `watch` never waits."""
+    """A configuration service with set values; `watch` never waits."""
 
     def __init__(self):
         self.values = {}
@@ -33,7 +33,7 @@
         )
 
     def put_shards(self, **shards):
-        """Publish shards of contracts, and the index of them all."""
+        """Publish shards of contracts, and an index of all shards."""
         for name, contracts in shards.items():
             self.put(name, {'contracts': contracts})
         self.put_index()
@@ -61,7 +61,7 @@
 
 
 class FakeNode:
-    """One process's contracts, and the links to others' by port."""
+    """The contracts of one process, and its links to others, by port."""
 
     def __init__(self, fleet, number, role, clock):
         self.name = f'node-{number}'
@@ -112,7 +112,7 @@
 
     async def ask(self, message, kind, timeout_s):
         ends = frozenset((self.source.number, self.target.number))
-        if ends in self.source.fleet.cut:
+        if ends in self.source.fleet.broken_links:
             raise errors.LinkError('cut')
         self.source.fleet.sent_kinds.add(type(message))
         data = msgspec.msgpack.encode(message)
@@ -125,11 +125,11 @@
 
 
 class Fleet:
-    """Nodes that reach each other unless the pair is in `cut`."""
+    """Nodes that are connected, except for the pairs in `broken_links`."""
 
     def __init__(self, *roles):
         self.clock = clocks.ManualClock(1000.0)
-        self.cut = set()
+        self.broken_links = set()
         self.sent_bytes = []
         self.sent_kinds = set()
         self.nodes = [
@@ -145,7 +145,7 @@
 
 
 def make_contract(customer, revision, **fields):
-    """Return a contract whose one key is named like the customer."""
+    """Return a contract; by default, the customer's name is its key."""
     keys = fields.pop('keys', (customer,))
     return contract.Contract(
         customer=customer,
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""Contracts as data."""
+"""Validation of contracts, and their lookups."""
 
 import msgspec
 import pytest
@@ -33,11 +33,11 @@
             {'weight': -1},
         ],
     )
-    def test_refuses_what_could_be_mistaken(self, fields):
+    def test_rejects_invalid_fields(self, fields):
         with pytest.raises(msgspec.ValidationError):
             make(**fields)
 
-    def test_lists_no_key_in_the_clear(self):
+    def test_stores_only_digests_of_keys(self):
         digest = contract.digest_key('a secret key')
         assert make(key_digests=[digest]).key_digests == (digest,)
         assert 'secret' not in digest
--- a/tests/test_contract_files.py
+++ b/tests/test_contract_files.py
@@ -1,4 +1,4 @@
-"""Contracts as files, and the values that are published from them."""
+"""Contract files, and the values rendered from them."""
 
 import json
 
@@ -62,17 +62,17 @@
         assert _revision(after, shard) > _revision(before, shard)
 
     def test_another_count_of_shards_gives_other_names(self):
-        """A change is missed by all after the shards were made more.
+        """Guards against changes that readers miss after resharding.
 
-        With the names kept, a shard's revision falls when customers move
-        out of it; readers compare, and pass over its next change.
+        Under the same name, a shard's revision decreases when customers
+        move to other shards, and readers ignore its next change.
         """
         values = contract_files.render(fleet().values(), SHARDS)
         more = contract_files.render(fleet().values(), 2 * SHARDS)
         names = {value.name for value in values[:-1]}
         assert names.isdisjoint(value.name for value in more[:-1])
 
-    def test_refuses_a_value_above_the_limit(self):
+    def test_refuses_a_value_above_the_size_limit(self):
         grants = [
             {'name': f'adapter-{n}', 'version': '1', 'base_model': 'base'}
             for n in range(config_service.MAX_VALUE_BYTES // 40)
@@ -82,7 +82,7 @@
 
 
 class TestDiff:
-    def test_says_who_changes_in_what(self):
+    def test_lists_changed_customers_and_fields(self):
         old = [make('a'), make('b')]
         new = [make('a'), make('b', revision=2, weight=2.0), make('c')]
         changes = contract_diff.diff(old, new)
@@ -93,14 +93,14 @@
         )
         assert not any(change.problems for change in changes)
 
-    def test_says_a_change_of_version(self):
+    def test_lists_a_change_of_an_adapter_version(self):
         grant = {'name': 'ficus', 'version': '2', 'base_model': 'base'}
         new = make('a', revision=2, adapters=[grant])
         (change,) = contract_diff.diff([make('a')], [new])
         assert 'adapter ficus: version 1 -> 2' in change.changes
 
     @pytest.mark.parametrize('revision', [2, 3])
-    def test_flags_a_revision_that_did_not_rise(self, revision):
+    def test_flags_a_revision_that_did_not_increase(self, revision):
         old = make('a', revision=3)
         new = make('a', revision=revision, weight=2.0)
         (change,) = contract_diff.diff([old], [new])
--- a/tests/test_contract_gossip.py
+++ b/tests/test_contract_gossip.py
@@ -19,7 +19,7 @@
         )
 
 
-class TestCompare:
+class TestReconcile:
     async def test_both_sides_end_with_the_newest(self):
         fleet = contract_fakes.Fleet(ENTRY, ENTRY)
         one, other = fleet.nodes
@@ -32,7 +32,7 @@
         assert other.registry.revision('customer-299') == 1
         assert one.registry.versions.root == other.registry.versions.root
 
-    async def test_equal_books_cost_few_bytes(self):
+    async def test_equal_registries_cost_few_bytes(self):
         fleet = contract_fakes.Fleet(ENTRY, ENTRY)
         for node in fleet.nodes:
             fill(node, 300)
@@ -40,7 +40,7 @@
         assert len(fleet.sent_bytes) == 2
         assert sum(fleet.sent_bytes) < 200
 
-    async def test_sidecar_takes_versions_alone_at_its_start(self):
+    async def test_sidecar_fetches_only_versions_at_its_start(self):
         fleet = contract_fakes.Fleet(ENTRY, SIDECAR)
         entry, sidecar = fleet.nodes
         fill(entry, 300)
@@ -58,7 +58,7 @@
         assert not one.registry.outdated
         assert max(fleet.sent_bytes) < 1 << 20
 
-    async def test_unusable_contract_is_refused_and_leaves_no_gap(self):
+    async def test_invalid_contract_is_rejected_and_others_are_applied(self):
         node = contract_fakes.Fleet(ENTRY).nodes[0]
         good = msgspec.json.encode(make_contract('ivy', 1))
         push = contract_gossip.ContractsPush(contracts=(b'{', b'[]', good))
@@ -81,7 +81,7 @@
             behind.registry.authenticate('ivy')
         assert caught.value.kind is errors.ErrorKind.NOT_IN_CONTRACT
 
-    async def test_customer_stays_refused_if_nobody_has_it(self):
+    async def test_customer_stays_refused_if_no_process_has_the_contract(self):
         fleet = contract_fakes.Fleet(ENTRY, SIDECAR)
         behind, sidecar = fleet.nodes
         behind.registry.accept(make_contract('ivy', 1))
@@ -102,11 +102,12 @@
         zones = 2
         assert len(watchers) == zones * contract_gossip.WATCHERS_PER_ZONE
 
-    async def test_silence_of_the_watchers_makes_others_watch(self):
-        """Changes reach nobody after a zone's watchers died.
+    async def test_timeout_of_the_watchers_makes_others_watch(self):
+        """Guards against changes that no process reads.
 
-        The list lags and still elects them.  The cause would be to rely
-        on who is listed, and not on what is heard.
+        A zone's watchers died, and the list that elects them is out of
+        date.  Others must watch when they don't hear of a watcher's reads,
+        whoever is listed.
         """
         fleet = contract_fakes.Fleet(*[ENTRY] * 8)
         elected = next(n for n in fleet.nodes if n.gossip.is_watcher)
--- a/tests/test_contract_registry.py
+++ b/tests/test_contract_registry.py
@@ -33,7 +33,7 @@
 
 
 class TestRevisions:
-    def test_higher_wins_and_lower_is_passed_over(self, registry):
+    def test_higher_wins_and_lower_is_ignored(self, registry):
         assert registry.accept(make_contract('ivy', 2, weight=2.0))
         assert not registry.accept(make_contract('ivy', 1))
         assert registry.contract('ivy').weight == 2.0
@@ -41,22 +41,22 @@
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.OPERATOR_RACE, Step.ANY)
     @pytest.mark.parametrize('revoked', [0, 1])
-    def test_race_of_one_revision_ends_alike_everywhere(self, revoked):
-        """A customer is served through one entry and refused by another.
+    def test_race_of_one_revision_converges(self, revoked):
+        """Guards against a customer served by one entry, refused by another.
 
         Two operators publish different contents under one revision, and
-        instances read them in different orders.  The cause would be that
-        the first, or the last, to arrive wins.
+        instances read them in different orders.  Neither the first nor the
+        last one read may win.
         """
-        rivals = [
+        competing = [
             make_contract('ivy', 3, weight=1.5, revoked=bool(revoked)),
             make_contract('ivy', 3, weight=2.5),
         ]
-        registries = [contract_registry.ContractRegistry() for _ in rivals]
-        for rival in rivals:
-            registries[0].accept(rival)
-        for rival in reversed(rivals):
-            registries[1].accept(rival)
+        registries = [contract_registry.ContractRegistry() for _ in competing]
+        for contract in competing:
+            registries[0].accept(contract)
+        for contract in reversed(competing):
+            registries[1].accept(contract)
         assert registries[0].contract('ivy') == registries[1].contract('ivy')
         assert registries[0].versions.root == registries[1].versions.root
         assert all('ivy' in found.conflicts for found in registries)
@@ -89,10 +89,10 @@
 
     @pytest.mark.parametrize('names', [('ivy', 'moss'), ('moss', 'ivy')])
     def test_key_of_two_customers_serves_neither(self, registry, names):
-        """A customer's requests are billed to, and limited by, another.
+        """Guards against requests that are charged to another customer.
 
-        An operator lists one key in two contracts.  The cause would be a
-        table of keys in which the last to arrive takes the key over.
+        An operator lists one key in two contracts.  The last contract read
+        must not get the key.
         """
         for name in names:
             registry.accept(make_contract(name, 1, keys=('shared', name)))
@@ -101,11 +101,11 @@
         for name in names:
             assert registry.authenticate(name).customer == name
 
-    def test_mended_clash_leaves_the_key_with_its_owner(self, registry):
-        """A customer is locked out after another gave up its key.
+    def test_resolved_conflict_leaves_the_key_with_its_owner(self, registry):
+        """Guards against a customer refused after another dropped its key.
 
-        Two contracts list a key, then one drops it.  The cause would be
-        that dropping removes the key whoever else lists it.
+        Two contracts list a key, then one drops it.  The key must remain
+        that of the other.
         """
         registry.accept(make_contract('ivy', 1, keys=('shared',)))
         registry.accept(make_contract('moss', 1, keys=('shared',)))
@@ -120,7 +120,7 @@
         registry.accept(make_contract('ivy-gmbh', 1, keys=('ivy',)))
         assert registry.authenticate('ivy').customer == 'ivy-gmbh'
 
-    def test_key_twice_in_one_contract_is_no_clash(self, registry):
+    def test_key_twice_in_one_contract_is_no_conflict(self, registry):
         registry.accept(make_contract('ivy', 1, keys=('ivy', 'ivy')))
         assert registry.authenticate('ivy').customer == 'ivy'
         registry.accept(make_contract('ivy', 2))
@@ -137,7 +137,7 @@
         assert registry.authenticate('ivy').revision == 2
         assert refusal(registry, 'other') is errors.ErrorKind.UNAUTHENTICATED
 
-    def test_lower_version_noted_changes_nothing(self, registry):
+    def test_lower_version_recorded_changes_nothing(self, registry):
         registry.accept(make_contract('ivy', 2))
         registry.record_version('ivy', contract_versions.ContractVersion(1, 9))
         assert registry.authenticate('ivy').revision == 2
@@ -162,7 +162,7 @@
             registry.check_revoked('ivy')
         assert caught.value.kind is errors.ErrorKind.NOT_IN_CONTRACT
 
-    def test_bounded_book_keeps_versions_of_all(self):
+    def test_bounded_registry_keeps_versions_of_all(self):
         registry = contract_registry.ContractRegistry(capacity_contracts=1)
         registry.accept(make_contract('ivy', 4))
         registry.accept(make_contract('moss', 5))
@@ -179,11 +179,11 @@
 
 
 class NeverReverts(stateful.RuleBasedStateMachine):
-    """Publishings, stale reads, gossip, cuts and restarts in any order.
+    """Publications, old reads, gossip, broken links, restarts in any order.
 
-    A revoked customer would be served again after a stale read, a late
-    message, or the restart of the instance that knew.  The cause would
-    be any path by which a lower version replaces a higher one.
+    Guards against a lower version that replaces a higher one: a revoked
+    customer would be served again after an old read, a late message, or a
+    restart of the instance that knew the revocation.
     """
 
     def __init__(self):
@@ -192,7 +192,7 @@
         self.fleet = contract_fakes.Fleet(entry, entry, sidecar)
         self.history = [dict.fromkeys(_CUSTOMERS)]
         self.revisions = dict.fromkeys(_CUSTOMERS, 0)
-        self.floor = [{} for _ in self.fleet.nodes]
+        self.lowest_versions = [{} for _ in self.fleet.nodes]
         self.runner = asyncio.Runner(loop_factory=virtual_time.VirtualLoop)
 
     def teardown(self):
@@ -242,19 +242,19 @@
     @stateful.rule(one=_nodes, other=_nodes)
     def cut_or_heal(self, one, other):
         if one != other:
-            self.fleet.cut ^= {frozenset((one, other))}
+            self.fleet.broken_links ^= {frozenset((one, other))}
 
     @stateful.rule(node=_nodes, back=strategies.integers(0, 5))
     def restart(self, node, back):
         restarted = self.fleet.nodes[node]
         restarted.restart()
         self.fleet.list_all()
-        self.floor[node] = {}
+        self.lowest_versions[node] = {}
         if restarted.role is live_list.Role.ENTRY:
             self._read(restarted, back)
         self.runner.run(restarted.gossip.settle())
         for other in self.fleet.nodes:
-            if frozenset((node, other.number)) in self.fleet.cut:
+            if frozenset((node, other.number)) in self.fleet.broken_links:
                 continue
             for customer in _CUSTOMERS:
                 assert restarted.registry.versions.version(
@@ -263,11 +263,13 @@
 
     @stateful.invariant()
     def versions_only_rise(self):
-        for node, floor in zip(self.fleet.nodes, self.floor, strict=True):
+        for node, lowest in zip(
+            self.fleet.nodes, self.lowest_versions, strict=True
+        ):
             for customer in _CUSTOMERS:
                 version = node.registry.versions.version(customer)
-                assert version >= floor.get(customer, version)
-                floor[customer] = version
+                assert version >= lowest.get(customer, version)
+                lowest[customer] = version
 
     @stateful.invariant()
     def only_the_highest_seen_is_served(self):
@@ -283,7 +285,7 @@
 
     @stateful.rule()
     def all_agree_once_healed(self):
-        self.fleet.cut.clear()
+        self.fleet.broken_links.clear()
         for _ in range(3):
             for one in range(_NODE_COUNT):
                 self._compare(one, (one + 1) % _NODE_COUNT)
@@ -291,9 +293,9 @@
         assert len(roots) == 1
 
     def _read(self, node, back):
-        shown = self.history[max(0, len(self.history) - 1 - back)]
+        published = self.history[max(0, len(self.history) - 1 - back)]
         service = contract_fakes.FakeService()
-        service.put_shards(a=[c for c in shown.values() if c])
+        service.put_shards(a=[c for c in published.values() if c])
         reader = published_contracts.PublishedContracts(
             service, node.registry, node.clock
         )
@@ -304,7 +306,7 @@
         try:
             self.runner.run(nodes[one].gossip.reconcile(nodes[other].instance))
         except errors.LinkError:
-            assert frozenset((one, other)) in self.fleet.cut
+            assert frozenset((one, other)) in self.fleet.broken_links
 
 
 TestNeverReverts = pytest.mark.proves(
