--- a/lacewingpitch/load_pacer.py
+++ b/lacewingpitch/load_pacer.py
@@ -1,4 +1,4 @@
-"""When the weight store has room for one more load."""
+"""Rate limiting of adapter loads from the weight store."""
 
 from collections.abc import Callable
 import contextlib
@@ -6,23 +6,23 @@
 
 
 class LoadPacer(Protocol):
-    """Says when the store has room for one more load."""
+    """Gives permits for loads as the store has capacity for them."""
 
     def permit(
         self, weight: Callable[[], float]
     ) -> contextlib.AbstractAsyncContextManager[None]:
-        """Wait for a permit and keep it for the length of a load.
+        """Wait for a permit and hold it while the context is open.
 
         Parameters
         ----------
         weight
-            What waiting costs; it may grow meanwhile.
+            Returns the current cost of waiting, which may grow.
         """
         ...
 
 
 class UnlimitedLoads:
-    """Lets every load start at once."""
+    """Starts every load at once, without a limit."""
 
     def permit(
         self, weight: Callable[[], float]
--- a/lacewingpitch/slots.py
+++ b/lacewingpitch/slots.py
@@ -1,4 +1,7 @@
-"""The adapter slots of one engine: who holds them, who may be evicted."""
+"""Loads and evicts the adapters in the slots of one engine.
+
+An adapter slot is room for one adapter in an engine's memory.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Iterable
@@ -20,14 +23,14 @@
 from lacewingpitch import slot_simulation
 from lacewingpitch import slot_table
 
-# Two outstanding requests for a permit keep the store busy; more would
-# only crowd out the sidecars whose waiting requests cost more.
+# Two pending permit requests keep the store busy; more would only delay
+# other sidecars whose waiting requests cost more.
 _MAX_PENDING_PERMITS = 2
 _CLOSE_AFTER_S = 2.0
 _INITIAL_LOAD_S = 0.5
 _RECHECK_INTERVAL_S = 1.0
-# Engines report with a lag: what they say of an earlier sidecar's runs
-# is believed only so long after we came.
+# Engine reports lag.  A report that an adopted adapter is idle is used
+# only if it was requested this long after the adoption.
 _MAX_REPORT_LAG_S = 3.0
 _EVICTION_LAG_S = 5.0
 log = structlog.get_logger(__name__)
@@ -37,25 +40,27 @@
 
 
 class AdapterSlots:
-    """Loads and evicts adapters so that each request finds its own.
+    """Loads adapters for requests and keeps them while they are used.
 
-    Waiting requests are kept by adapter.  The adapter whose waiting
-    costs most is loaded next, and all its requests start together.
+    Waiting requests are grouped by adapter.  The adapter whose waiting
+    requests cost most is loaded next, and all its requests start
+    together.
 
     Parameters
     ----------
     pacer
-        Says when a load may start.
+        Gives the permits to start loads.
     stall_weight
         The operator's objective, see `settings.ObjectiveSettings`.
     max_pending_permits
-        Loads that may wait for a permit at once.
+        How many loads may wait for a permit at once.
     max_concurrent_loads
-        Loads that the engine takes at once; without it, the pacer says.
+        How many loads the engine accepts at once; without it, only the
+        pacer limits them.
     max_report_lag_s
         How old the engine's report may be when it is read.
     initial_load_s
-        How long a load takes until some were seen.
+        Assumed duration of a load before the first is measured.
     """
 
     def __init__(
@@ -85,7 +90,7 @@
         self._evicted_at_s: dict[str, float] = {}
         self._generation = 0
         self._is_closed = False
-        self._asking = 0
+        self._pending_permits = 0
         self._load_times = load_times.LoadTimes(clock, initial_load_s)
         self._forecast = slot_forecast.SlotForecast(
             self._slots,
@@ -94,14 +99,14 @@
             max_pending_permits,
             clock,
         )
-        self._loaders: set[asyncio.Task[None]] = set()
+        self._load_tasks: set[asyncio.Task[None]] = set()
         self.load_count = 0
         self.eviction_count = 0
         self.failed_load_count = 0
 
     @property
     def adapters(self) -> tuple[str, ...]:
-        """Return the adapters that requests can start on."""
+        """Return the adapters on which requests can start now."""
         return tuple(slot.name for slot in self._slots if slot.is_open)
 
     def holds(self, name: str) -> bool:
@@ -109,36 +114,36 @@
         return self._slots.is_open(name)
 
     def has_slot(self, name: str) -> bool:
-        """Return whether a slot is taken by adapter `name`."""
+        """Return whether adapter `name` occupies a slot."""
         return name in self._slots
 
     @property
     def waiting_count(self) -> int:
-        """Return how many requests wait for their adapter."""
+        """Return how many requests wait for an adapter."""
         return len(self._waiters)
 
     @property
     def spare_slot_count(self) -> int:
-        """Return how many slots can change hands at little cost."""
+        """Return the free and unused slots, less those that waiters need."""
         spare = self._slots.free_count + self._slots.unused_count
-        return max(0, spare - len(self._loadable()))
+        return max(0, spare - len(self._adapters_to_load()))
 
     def expected_wait_s(self, name: str = '') -> float:
-        """Return what a request for adapter `name` would wait now."""
+        """Return the expected wait of a request for adapter `name`."""
         return self.expected_wait(name).total_s
 
     def expected_wait(self, name: str = '') -> slot_simulation.AdapterWait:
-        """Return the same by its parts."""
+        """Return the expected wait, split into the slot and the load."""
         return self._forecast.wait(name)
 
     @property
     def cached_copy_load_s(self) -> float:
-        """Return how long an adapter loads of which there is a copy."""
+        """Return the expected load time of an adapter with a cached copy."""
         return self._load_times.copy_s
 
     @property
     def cached_copy_count(self) -> int:
-        """Return how many copies the engine seems to keep."""
+        """Return the estimated number of copies that the engine caches."""
         return self._load_times.copy_count
 
     @contextlib.asynccontextmanager
@@ -149,57 +154,61 @@
         weight: float = 1.0,
         use_s: float | None = None,
     ) -> AsyncIterator[float]:
-        """Keep adapter `name` in the engine while the caller uses it.
+        """Keep adapter `name` in the engine while the context is open.
 
         Yields the seconds that the request waited for its adapter.
 
         Parameters
         ----------
+        deadline_s
+            Longest time to wait for the adapter.
+        weight
+            Cost of waiting, relative to other requests.
         use_s
-            For how long it is expected to be used.
+            How long the request is expected to use the adapter.
 
         Raises
         ------
         RefusalError
-            It cannot be loaded, or not in `deadline_s`.
+            The adapter cannot be loaded, or not within `deadline_s`.
         """
-        asked_at_s = self._clock.monotonic_s()
-        slot = await self._take(name, deadline_s, weight, use_s)
+        requested_at_s = self._clock.monotonic_s()
+        slot = await self._acquire(name, deadline_s, weight, use_s)
         try:
-            yield self._clock.monotonic_s() - asked_at_s
+            yield self._clock.monotonic_s() - requested_at_s
         finally:
             self._release(slot)
 
     def clear_and_reload(self) -> None:
-        """Record that the engine restarted empty, and load anew."""
+        """Record that the engine restarted empty, and restart loads."""
         self.clear()
         self._start_loads()
 
     def clear(self) -> None:
-        """Record that the engine restarted, and cannot load yet.
+        """Record that the engine restarted and cannot load yet.
 
-        Holds that are out keep their own slot objects, so that giving
-        them back changes nothing here; a load that is in flight finds
-        another generation and is not believed.
+        Requests in progress keep their old slot objects, so that their
+        release does not change the new table.  A load in progress finds
+        a new generation, and its result is ignored.
         """
         self._generation += 1
         self._slots.clear()
         self._evicted_at_s.clear()
-        self._load_times.forget_copies()
+        self._load_times.clear_copies()
 
     def remove(self, name: str) -> None:
-        """Record that the engine says it does not hold an adapter."""
+        """Record that the engine does not hold an adapter after all."""
         slot = self._slots.get(name)
         if slot is not None and slot.state is slot_module.SlotState.READY:
             self._slots.discard(slot)
             self._start_loads()
 
     def adopt(self, names: Iterable[str]) -> None:
-        """Take over adapters that the engine holds, unknown to us.
+        """Add adapters that the engine holds and this table lacks.
 
         They were loaded for an earlier sidecar of this engine, or by a
-        load whose answer was lost.  Without this, the engine would be
-        full while we count free slots, and each load would fail.
+        load whose answer was lost.  Without them, this table would show
+        free slots while the engine is full, and each load would fail.
         """
         now_s = self._clock.monotonic_s()
         self._evicted_at_s = {
@@ -208,13 +217,13 @@
             if now_s - evicted_at_s < _EVICTION_LAG_S
         }
         for name in names:
-            # The report lags: an adapter that we evicted shows in it
-            # for a while, and would make a free slot seem used.
+            # The report lags: it still lists an adapter for a while after
+            # its eviction, which would make a free slot look occupied.
             if name in self._slots or name in self._evicted_at_s:
                 continue
-            # A sidecar that was killed may have left runs at the engine.
-            # Nobody waits for them here, so their adapters would seem
-            # idle, and be evicted under a request.
+            # A killed sidecar may have left requests running.  This
+            # sidecar does not know them, so their adapters would look
+            # idle and be evicted under a running request.
             slot = slot_module.Slot(
                 name, slot_module.SlotState.READY, 1, adopted_at_s=now_s
             )
@@ -223,42 +232,43 @@
         self._start_loads()
 
     def release_adopted(
-        self, asked_at_s: float, is_idle: Callable[[str], bool]
+        self, requested_at_s: float, is_idle: Callable[[str], bool]
     ) -> None:
-        """Let go of adopted adapters that the engine says are idle.
+        """Release adopted adapters that the engine reports as idle.
 
         Parameters
         ----------
-        asked_at_s
-            When the engine was asked.  Its report lags, so it is only
-            believed some time after the adapter was adopted.
+        requested_at_s
+            When the report was requested.  It lags, so it is only used
+            for adapters that were adopted some time before.
         is_idle
-            Whether the engine says that nothing runs on an adapter.
+            Whether the engine reports that an adapter has no requests.
         """
         for slot in self._slots:
             if (
                 slot.adopted_at_s is not None
-                and asked_at_s >= slot.adopted_at_s + self._max_report_lag_s
+                and requested_at_s
+                >= slot.adopted_at_s + self._max_report_lag_s
                 and is_idle(slot.name)
             ):
                 slot.adopted_at_s = None
                 self._release(slot)
 
     def limit_slot_count(self, slot_count: int) -> None:
-        """Use no more slots than the engine says that it has."""
-        # Settings that name more than there are would make each load
-        # into a slot that is none fail, and its requests with it.
+        """Use no more slots than the engine reports."""
+        # If the settings name more slots than the engine has, loads into
+        # the missing slots would fail, and their requests with them.
         if slot_count > 0:
             self._slots.slot_count = min(self._slots.slot_count, slot_count)
 
     async def close(self) -> None:
-        """End the loads that are waited for, and begin no more."""
+        """Cancel the loads in progress and start no more."""
         self._is_closed = True
-        for loader in self._loaders:
-            loader.cancel()
-        await asyncio.gather(*self._loaders, return_exceptions=True)
+        for load_task in self._load_tasks:
+            load_task.cancel()
+        await asyncio.gather(*self._load_tasks, return_exceptions=True)
 
-    async def _take(
+    async def _acquire(
         self,
         name: str,
         deadline_s: float,
@@ -275,12 +285,12 @@
         return await self._wait(name, deadline_s, weight, use_s)
 
     def _check_backoff(self, name: str) -> None:
-        left_s = self._backoffs.left_s(name)
-        if left_s > 0:
+        remaining_s = self._backoffs.remaining_s(name)
+        if remaining_s > 0:
             raise errors.RefusalError(
                 errors.ErrorKind.ADAPTER_UNAVAILABLE,
-                'the adapter failed to load a moment ago',
-                retry_after_s=left_s,
+                'the adapter failed to load recently',
+                retry_after_s=remaining_s,
             )
 
     def _check_deadline(self, name: str, deadline_s: float) -> None:
@@ -302,19 +312,19 @@
         waiter = self._waiters.add(name, weight, use_s)
         self._start_loads()
         try:
-            return await self._settled(name, waiter, deadline_s)
+            return await self._await_slot(name, waiter, deadline_s)
         except (errors.RefusalError, asyncio.CancelledError):
             self._abandon(name, waiter)
             raise
 
-    async def _settled(
+    async def _await_slot(
         self, name: str, waiter: _Waiter, deadline_s: float
     ) -> slot_module.Slot:
-        # What was expected on arrival can worsen: the store slows down,
-        # or adapters with more waiting go first.  Callers would learn
-        # only at their deadline that they had waited for nothing.
+        # The expected wait can grow after arrival: the store slows down,
+        # or adapters with more waiting requests go first.  Without this
+        # recheck, callers would be refused only at their deadline.
         until_s = waiter.since_s + deadline_s
-        while not waiter.given.done():
+        while not waiter.future.done():
             left_s = until_s - self._clock.monotonic_s()
             if left_s <= 0.0:
                 raise errors.RefusalError(
@@ -325,17 +335,17 @@
             if name not in self._slots:
                 self._check_deadline(name, left_s)
             await asyncio.wait(
-                [waiter.given], timeout=min(_RECHECK_INTERVAL_S, left_s)
+                [waiter.future], timeout=min(_RECHECK_INTERVAL_S, left_s)
             )
-        return waiter.given.result()
+        return waiter.future.result()
 
     def _abandon(self, name: str, waiter: _Waiter) -> None:
-        # A waiter can be given its slot and be cancelled in the same
-        # turn of the loop.  Its hold would never be given back, and the
-        # slot never be free again, so it is given back here.
-        if waiter.given.done() and not waiter.given.cancelled():
-            if waiter.given.exception() is None:
-                self._release(waiter.given.result())
+        # A waiter can be assigned its slot and be cancelled in the same
+        # iteration of the event loop.  Its use of the slot is released
+        # here; otherwise the slot would never be idle again.
+        if waiter.future.done() and not waiter.future.cancelled():
+            if waiter.future.exception() is None:
+                self._release(waiter.future.result())
             return
         self._waiters.remove(name, waiter)
 
@@ -349,45 +359,47 @@
         if self._is_closed:
             return
         self._reopen_slots()
-        wanted = min(
-            len(self._loadable()),
+        start_count = min(
+            len(self._adapters_to_load()),
             self._slots.available_count,
             self._max_pending_permits,
             self._max_concurrent_loads - self._slots.loading_count,
         )
-        for _ in range(wanted - self._asking):
-            self._asking += 1
-            loader = asyncio.create_task(self._load_next())
-            self._loaders.add(loader)
-            loader.add_done_callback(self._loaders.discard)
-        self._close_slot()
-
-    def _loadable(self) -> list[str]:
+        for _ in range(start_count - self._pending_permits):
+            self._pending_permits += 1
+            load_task = asyncio.create_task(self._load_next())
+            self._load_tasks.add(load_task)
+            load_task.add_done_callback(self._load_tasks.discard)
+        self._close_slot_if_needed()
+
+    def _adapters_to_load(self) -> list[str]:
         return [name for name in self._waiters if name not in self._slots]
 
     def _highest_cost(self) -> float:
-        return max(map(self._waiters.cost, self._loadable()), default=0.0)
+        return max(
+            map(self._waiters.cost, self._adapters_to_load()), default=0.0
+        )
 
     async def _load_next(self) -> None:
         started_s = self._clock.monotonic_s()
-        is_asking = True
+        is_pending = True
         try:
             async with self._pacer.permit(self._highest_cost):
-                self._asking -= 1
-                is_asking = False
-                names = self._loadable()
+                self._pending_permits -= 1
+                is_pending = False
+                names = self._adapters_to_load()
                 if not names or self._slots.available_count < 1:
                     return
                 name = max(names, key=self._waiters.cost)
-                if await self._bring(name):
+                if await self._load(name):
                     took_s = self._clock.monotonic_s() - started_s
-                    self._load_times.loaded(name, took_s)
+                    self._load_times.record_load(name, took_s)
         finally:
-            self._asking -= is_asking
+            self._pending_permits -= is_pending
             self._start_loads()
 
-    async def _bring(self, name: str) -> bool:
-        """Load an adapter; return whether it is held now."""
+    async def _load(self, name: str) -> bool:
+        """Load an adapter; return whether the engine holds it now."""
         generation = self._generation
         slot = slot_module.Slot(
             name, loading_since_s=self._clock.monotonic_s()
@@ -401,7 +413,7 @@
         except errors.PlatformError as error:
             self._slots.discard(slot)
             if generation == self._generation:
-                self._fail(name, error)
+                self._fail_waiters(name, error)
             return False
         except BaseException:
             self._slots.discard(slot)
@@ -409,22 +421,23 @@
         return self._finish_load(slot, generation)
 
     def _finish_load(self, slot: slot_module.Slot, generation: int) -> bool:
-        # An engine that restarted during the load may have taken the
-        # order before or after; its requests stay queued and it is
-        # ordered again, which an engine that holds it answers at once.
+        # If the engine restarted during the load, it may have received
+        # the order before or after the restart.  The requests stay
+        # queued and the load is ordered again; an engine that holds the
+        # adapter answers at once.
         if generation != self._generation:
             return False
         slot.state = slot_module.SlotState.READY
         self.load_count += 1
-        self._backoffs.end(slot.name)
+        self._backoffs.reset(slot.name)
         self._serve_waiters(slot)
         return True
 
     def _serve_waiters(self, slot: slot_module.Slot) -> None:
         slot.used_at_s = self._clock.monotonic_s()
-        for waiter in self._waiters.take_all(slot.name):
+        for waiter in self._waiters.pop_all(slot.name):
             slot.serve(slot.used_at_s, waiter.use_s)
-            waiter.given.set_result(slot)
+            waiter.future.set_result(slot)
 
     async def _evict(self, victims: list[slot_module.Slot]) -> None:
         for victim in victims:
@@ -434,12 +447,13 @@
                 )
                 self._fence.mark_accepted()
             except errors.PlatformError:
-                # Whether it is gone is not known: if it is, the engine
-                # refuses its next request, which is then `forget`.
+                # The adapter may or may not have been evicted.  If it
+                # was, the engine refuses its next request, and `remove`
+                # corrects the table.
                 self._restore(victims)
                 raise
             self._slots.discard(victim)
-            self._load_times.used(victim.name)
+            self._load_times.record_use(victim.name)
             self._evicted_at_s[victim.name] = self._clock.monotonic_s()
             self.eviction_count += 1
 
@@ -449,12 +463,12 @@
                 victim.state = slot_module.SlotState.READY
                 self._serve_waiters(victim)
 
-    def _fail(self, name: str, error: errors.PlatformError) -> None:
+    def _fail_waiters(self, name: str, error: errors.PlatformError) -> None:
         log.warning('load failed', adapter=name, error=str(error))
         self.failed_load_count += 1
-        delay_s = self._backoffs.begin(name)
-        for waiter in self._waiters.take_all(name):
-            waiter.given.set_exception(
+        delay_s = self._backoffs.record_failure(name)
+        for waiter in self._waiters.pop_all(name):
+            waiter.future.set_exception(
                 errors.RefusalError(
                     errors.ErrorKind.ADAPTER_UNAVAILABLE,
                     'the adapter failed to load',
@@ -462,21 +476,21 @@
                 )
             )
 
-    def _close_slot(self) -> None:
+    def _close_slot_if_needed(self) -> None:
         # Slots whose requests overlap without a gap are never idle, and
-        # an adapter that waits would wait for ever.  The least wanted
-        # of them takes no new requests until it has been evicted.
+        # a waiting adapter would never be loaded.  The slot least in
+        # demand accepts no new requests until it has been evicted.
         if self._slots.available_count > 0 or self._slots.is_freeing:
             return
         if not any(
             self._waiters.longest_wait_s(name) >= self._close_after_s
-            for name in self._loadable()
+            for name in self._adapters_to_load()
         ):
             return
         self._slots.close_least_wanted()
 
     def _reopen_slots(self) -> None:
-        if self._loadable():
+        if self._adapters_to_load():
             return
         for slot in self._slots:
             if slot.is_closing:
--- a/tests/test_adapter_waiters.py
+++ b/tests/test_adapter_waiters.py
@@ -1,4 +1,4 @@
-"""Who waits for which adapter, and what it costs."""
+"""Waiting requests by adapter, and their waiting cost."""
 
 import asyncio
 
@@ -8,47 +8,47 @@
 from lacewingpitch import adapter_waiters
 
 
-def play(story):
+def run(scenario):
     async def main():
         clock = virtual_time.LoopClock()
-        await story(adapter_waiters.AdapterWaiters(clock))
+        await scenario(adapter_waiters.AdapterWaiters(clock))
 
     virtual_time.run(main())
 
 
 class TestAdapterWaiters:
-    def test_those_of_one_adapter_get_it_together(self):
-        async def story(waiters):
+    def test_requests_of_one_adapter_are_popped_together(self):
+        async def scenario(waiters):
             first = waiters.add('a', 1.0)
             waiters.add('b', 1.0)
             second = waiters.add('a', 1.0)
             assert len(waiters) == 3
             assert list(waiters) == ['a', 'b']
-            assert waiters.take_all('a') == [first, second]
+            assert waiters.pop_all('a') == [first, second]
             assert 'a' not in waiters and 'b' in waiters
 
-        play(story)
+        run(scenario)
 
-    def test_one_that_has_left_is_not_served(self):
-        """An adapter is held for a request that is gone, for ever."""
+    def test_cancelled_request_is_not_returned(self):
+        """An adapter is held for ever for a cancelled request."""
 
-        async def story(waiters):
+        async def scenario(waiters):
             first, second = waiters.add('a', 1.0), waiters.add('a', 1.0)
             waiters.remove('a', first)
-            second.given.cancel()
-            assert waiters.take_all('a') == []
+            second.future.cancel()
+            assert waiters.pop_all('a') == []
             waiters.remove('a', second)
             assert not waiters
 
-        play(story)
+        run(scenario)
 
-    def test_costs_more_the_longer_it_lasts(self):
-        """An adapter that one request wants is never loaded.
+    def test_cost_grows_with_the_wait(self):
+        """An adapter with a single waiting request is never loaded.
 
-        Others, each with more that wait, always go ahead of it.
+        Other adapters, each with more waiting requests, always go first.
         """
 
-        async def story(waiters):
+        async def scenario(waiters):
             waiters.add('rare', 1.0)
             await asyncio.sleep(60.0)
             waiters.add('hot', 1.0)
@@ -58,4 +58,4 @@
             assert waiters.longest_wait_s('rare') == pytest.approx(60.0)
             assert waiters.longest_wait_s('other') == 0.0
 
-        play(story)
+        run(scenario)
--- a/tests/test_load_backoff.py
+++ b/tests/test_load_backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between the tries to load an adapter that fails."""
+"""Backoff between attempts to load a failing adapter."""
 
 import pytest
 
@@ -17,31 +17,31 @@
 
 
 class TestLoadBackoffs:
-    def test_what_never_failed_is_loaded_at_once(self, backoffs):
-        assert backoffs.left_s('a') == 0.0
+    def test_no_delay_without_a_failure(self, backoffs):
+        assert backoffs.remaining_s('a') == 0.0
 
-    def test_each_failure_doubles_the_pause_up_to_a_bound(self, backoffs):
-        pauses_s = [backoffs.begin('a') for _ in range(7)]
-        assert pauses_s == [1.0, 2.0, 4.0, 8.0, 16.0, 30.0, 30.0]
-        assert backoffs.begin('b') == 1.0
+    def test_each_failure_doubles_the_delay_up_to_a_limit(self, backoffs):
+        delays_s = [backoffs.record_failure('a') for _ in range(7)]
+        assert delays_s == [1.0, 2.0, 4.0, 8.0, 16.0, 30.0, 30.0]
+        assert backoffs.record_failure('b') == 1.0
 
-    def test_ends_by_itself(self, backoffs, clock):
-        backoffs.begin('a')
+    def test_expires(self, backoffs, clock):
+        backoffs.record_failure('a')
         clock.now_s = 0.75
-        assert backoffs.left_s('a') == pytest.approx(0.25)
+        assert backoffs.remaining_s('a') == pytest.approx(0.25)
         clock.now_s = 5.0
-        assert backoffs.left_s('a') == 0.0
+        assert backoffs.remaining_s('a') == 0.0
 
-    def test_a_load_begins_anew(self, backoffs):
-        backoffs.begin('a')
-        backoffs.begin('a')
-        backoffs.end('a')
-        assert backoffs.left_s('a') == 0.0
-        assert backoffs.begin('a') == 1.0
+    def test_successful_load_resets_the_delay(self, backoffs):
+        backoffs.record_failure('a')
+        backoffs.record_failure('a')
+        backoffs.reset('a')
+        assert backoffs.remaining_s('a') == 0.0
+        assert backoffs.record_failure('a') == 1.0
 
-    def test_what_is_kept_is_bounded(self, backoffs):
-        """Names that never load fill the memory of a process."""
+    def test_memory_is_bounded(self, backoffs):
+        """Names of adapters that never load exhaust the memory."""
         for number in range(5000):
-            backoffs.begin(str(number))
+            backoffs.record_failure(str(number))
         assert len(backoffs) == 4096
-        assert backoffs.left_s('4999') == 1.0
+        assert backoffs.remaining_s('4999') == 1.0
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Adapter slots of one engine."""
+"""Loading and evicting adapters in the slots of one engine."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class FakeEngine:
-    """Holds adapters, and knows when an order or a run was wrong."""
+    """Holds adapters and records evictions under a running request."""
 
     def __init__(self, slot_count=2):
         self.slot_count = slot_count
@@ -33,11 +33,11 @@
         self.running = {}
         self.loads = []
         self.evictions = []
-        self.wrong = []
+        self.violations = []
         self.failing = set()
         self.refuses_evictions = False
         self.loading = 0
-        self.most_loading = 0
+        self.max_loading = 0
 
     def restart(self):
         self.held.clear()
@@ -45,7 +45,7 @@
 
     async def load_adapter(self, name, _fencing):
         self.loading += 1
-        self.most_loading = max(self.most_loading, self.loading)
+        self.max_loading = max(self.max_loading, self.loading)
         try:
             await asyncio.sleep(LOAD_S)
         finally:
@@ -62,7 +62,7 @@
         if self.refuses_evictions:
             raise errors.PlatformError('not evicted')
         if self.running.get(name):
-            self.wrong.append(f'evicted under a run: {name}')
+            self.violations.append(f'evicted under a run: {name}')
         self.held.discard(name)
         self.evictions.append(name)
 
@@ -79,8 +79,8 @@
                 running[name] -= 1
 
 
-class OneAtATime:
-    """Lets one load start after the other."""
+class SingleLoadPacer:
+    """A pacer that allows one load at a time."""
 
     def __init__(self):
         self._lock = asyncio.Lock()
@@ -104,8 +104,8 @@
     return stall_s
 
 
-def take_report(slots, names, busy=()):
-    """Hand the slots an engine's report that was asked for now."""
+def apply_report(slots, names, busy=()):
+    """Apply an engine report that was requested now."""
     slots.adopt(names)
     now_s = asyncio.get_running_loop().time()
     slots.release_adopted(now_s, lambda name: name not in busy)
@@ -117,7 +117,7 @@
         slots = make_slots(engine, **options)
         found = await scenario(slots, engine)
         await slots.close()
-        assert not engine.wrong
+        assert not engine.violations
         return found
 
     return virtual_time.run(main())
@@ -136,10 +136,9 @@
         assert stalls_s == pytest.approx([LOAD_S] * 5)
 
     def test_held_adapter_waits_for_no_load(self):
-        """A request stalls though its adapter is there.
+        """A request for a held adapter stalls while another one loads.
 
-        Another adapter loads meanwhile.  The cause was one lock around
-        every load.
+        This happens if one lock guards every load.
         """
 
         async def scenario(slots, engine):
@@ -164,15 +163,15 @@
     def test_several_loads_at_once(self):
         async def scenario(slots, engine):
             await asyncio.gather(*(use(slots, engine, n) for n in 'abcd'))
-            return engine.most_loading
+            return engine.max_loading
 
         assert run_with(scenario, slot_count=4) == 2
 
-    def test_busy_slots_come_free_for_one_that_waits(self):
-        """A rarely called adapter is never loaded.
+    def test_busy_slot_is_freed_for_a_waiting_adapter(self):
+        """A rarely requested adapter is never loaded.
 
         Both slots serve requests that overlap without a gap, so neither
-        is ever idle.  The cause would be waiting for an idle slot only.
+        is ever idle, and the load waits for an idle slot.
         """
 
         async def scenario(slots, engine):
@@ -221,7 +220,7 @@
 
         run_with(scenario)
 
-    def test_takes_the_one_least_in_demand(self):
+    def test_evicts_the_adapter_least_in_demand(self):
         async def scenario(slots, engine):
             for _ in range(5):
                 await use(slots, engine, 'often', 0.1)
@@ -232,7 +231,7 @@
 
         assert run_with(scenario) == ['once']
 
-    def test_spares_one_used_a_moment_ago(self):
+    def test_keeps_a_recently_used_adapter(self):
         async def scenario(slots, engine):
             for _ in range(9):
                 await use(slots, engine, 'often', 0.1)
@@ -261,11 +260,11 @@
 
 class TestFailedLoad:
     @pytest.mark.proves(Promise.NOT_RUN, Fault.LOAD_FAILS, Step.LOADING)
-    def test_refuses_its_waiters_at_once_and_nobody_else(self):
-        """One broken adapter holds up, or takes with it, all others.
+    def test_refuses_only_its_own_waiters_at_once(self):
+        """A failing adapter delays or fails requests for other adapters.
 
-        Requests wait for a broken and for a sound adapter; the broken
-        one's load fails.  The cause would be one queue or one backoff.
+        Requests wait for a failing and for a sound adapter.  This
+        happens if all adapters share a queue or a backoff.
         """
 
         async def scenario(slots, engine):
@@ -306,12 +305,12 @@
 
 
 class TestDeadline:
-    def test_what_can_be_in_time_no_longer_is_refused_then(self):
-        """Others go ahead of a request that waits for its adapter.
+    def test_refuses_as_soon_as_the_deadline_is_unreachable(self):
+        """A caller waits until its deadline and is refused only then.
 
-        It could be loaded in time when it came.  Then many came for
-        twenty other adapters, two for each, whose loads go first.  Its
-        caller was held until the deadline for nothing.
+        On arrival its adapter could be loaded in time.  Then two
+        requests for each of twenty other adapters arrive, whose loads go
+        first.
         """
 
         async def scenario(slots, engine):
@@ -334,13 +333,13 @@
                 task.cancel()
             return refused.value, virtual_time.LoopClock().monotonic_s()
 
-        pacer = OneAtATime()
+        pacer = SingleLoadPacer()
         error, now_s = run_with(scenario, slot_count=40, pacer=pacer)
         assert error.kind is errors.ErrorKind.DEADLINE_UNREACHABLE
         assert error.retry_after_s > 0
         assert now_s < 2.0
 
-    def test_what_cannot_be_in_time_is_refused_at_once(self):
+    def test_refuses_an_unreachable_deadline_on_arrival(self):
         async def scenario(slots, engine):
             waiting = [
                 asyncio.create_task(use(slots, engine, f'a-{n}', 5.0))
@@ -358,7 +357,7 @@
         assert error.retry_after_s > 0
         assert now_s == pytest.approx(0.01)
 
-    def test_waiter_past_its_deadline_leaves_no_trace(self):
+    def test_waiter_past_its_deadline_is_removed(self):
         async def scenario(slots, engine):
             long = [
                 asyncio.create_task(use(slots, engine, n, 20.0)) for n in 'ab'
@@ -374,18 +373,19 @@
         assert kind is errors.ErrorKind.DEADLINE_UNREACHABLE
         assert 'c' not in loads
 
-    @pytest.mark.parametrize('turns', range(6))
-    def test_cancelled_as_its_slot_is_given_frees_the_slot(self, turns):
-        """A slot is never evicted again though nobody uses it.
+    @pytest.mark.parametrize('iterations', range(6))
+    def test_cancelled_as_its_slot_is_given_frees_the_slot(self, iterations):
+        """An unused slot is never evicted again.
 
-        The caller goes away in the same turn of the loop in which its
-        adapter was loaded.  The cause would be a hold given to nobody.
+        The caller is cancelled in the same iteration of the event loop
+        in which its adapter is loaded, so that its hold is never
+        released.
         """
 
         async def scenario(slots, engine):
             task = asyncio.create_task(use(slots, engine, 'a', 99.0))
             await asyncio.sleep(LOAD_S)
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -399,12 +399,12 @@
 
 class TestEngineRestart:
     @pytest.mark.proves(Promise.RIGHT_ADAPTER, Fault.ENGINE_EMPTY, Step.SENT)
-    def test_holds_of_before_change_nothing_after(self):
+    def test_earlier_holds_do_not_change_the_new_table(self):
         """Adapters are evicted under requests after an engine restart.
 
-        A request holds an adapter while the engine restarts empty; the
-        adapter is loaded anew for a second request.  Then the first one
-        ends.  The cause would be a count that it takes from the second.
+        A request holds an adapter while the engine restarts empty, and
+        the adapter is loaded again for a second request.  When the first
+        one ends, it must not decrement the second one's count.
         """
 
         async def scenario(slots, engine):
@@ -424,7 +424,7 @@
     @pytest.mark.proves(
         Promise.RIGHT_ADAPTER, Fault.ENGINE_EMPTY, Step.LOADING
     )
-    def test_load_of_before_is_not_believed(self):
+    def test_result_of_an_earlier_load_is_ignored(self):
         async def scenario(slots, engine):
             first = asyncio.create_task(use(slots, engine, 'a'))
             await asyncio.sleep(LOAD_S / 2)
@@ -449,7 +449,7 @@
         assert run_with(scenario) < 4 * LOAD_S
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.TWO_FAULTS, Step.LOADING)
-    def test_load_that_the_restart_broke_is_not_held_against_it(self):
+    def test_load_broken_by_the_restart_causes_no_backoff(self):
         async def scenario(slots, engine):
             waiting = asyncio.create_task(use(slots, engine, 'a'))
             await asyncio.sleep(LOAD_S / 2)
@@ -480,41 +480,41 @@
 
 class TestAdoption:
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.KILLED, Step.SENT)
-    def test_takes_over_what_an_earlier_sidecar_loaded(self):
+    def test_adopts_adapters_of_an_earlier_sidecar(self):
         """Each load fails after a sidecar was replaced.
 
-        The engine is full of the earlier sidecar's adapters; the new one
-        counts free slots and never evicts.  The cause would be trusting
-        its own loads alone.
+        The engine is full of the earlier sidecar's adapters.  A new
+        sidecar that counts only its own loads sees free slots and never
+        evicts.
         """
 
         async def scenario(slots, engine):
             engine.held = {'a', 'b'}
-            take_report(slots, ['a', 'b'])
+            apply_report(slots, ['a', 'b'])
             assert await use(slots, engine, 'a') == 0.0
             waiting = asyncio.create_task(use(slots, engine, 'c'))
             await asyncio.sleep(1.0)
-            take_report(slots, ['a', 'b'])
+            apply_report(slots, ['a', 'b'])
             await asyncio.sleep(0.5)
             assert not engine.evictions
             await asyncio.sleep(1.5)
-            take_report(slots, ['a', 'b'])
+            apply_report(slots, ['a', 'b'])
             assert await waiting > 3.0
             return engine.evictions
 
         assert run_with(scenario) == ['b']
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.KILLED, Step.MID_STREAM)
-    def test_leaves_time_for_runs_that_were_left_behind(self):
+    def test_waits_for_runs_of_an_earlier_sidecar(self):
         async def scenario(slots, engine):
             engine.held = {'a', 'b'}
-            take_report(slots, ['a', 'b'], busy=['a', 'b'])
+            apply_report(slots, ['a', 'b'], busy=['a', 'b'])
             waiting = asyncio.create_task(use(slots, engine, 'c', 0.1, 60.0))
             for _ in range(20):
                 await asyncio.sleep(1.0)
-                take_report(slots, ['a', 'b'], busy=['a', 'b'])
+                apply_report(slots, ['a', 'b'], busy=['a', 'b'])
             assert not engine.evictions
-            take_report(slots, ['a', 'b'], busy=['a'])
+            apply_report(slots, ['a', 'b'], busy=['a'])
             stall_s = await waiting
             assert engine.evictions == ['b']
             return stall_s
@@ -522,10 +522,10 @@
         assert run_with(scenario) > 20.0
 
     def test_uses_no_more_slots_than_the_engine_has(self):
-        """An adapter is refused for minutes though slots are idle.
+        """An adapter is refused for minutes although slots are idle.
 
-        The settings name more slots than the engine has, so that the
-        sidecar evicts nothing and every further load fails.
+        The settings name more slots than the engine has, so the sidecar
+        evicts nothing and every further load fails.
         """
 
         async def scenario(slots, engine):
@@ -538,11 +538,11 @@
 
         assert run_with(scenario, slot_count=3) == ['a', 'b']
 
-    def test_late_report_does_not_bring_back_an_evicted_one(self):
+    def test_late_report_does_not_restore_an_evicted_adapter(self):
         async def scenario(slots, engine):
             for name in 'abc':
                 await use(slots, engine, name, 0.1)
-            take_report(slots, ['a', 'b', 'c'])
+            apply_report(slots, ['a', 'b', 'c'])
             return sorted(slots.adapters)
 
         assert len(run_with(scenario)) == 2
@@ -552,12 +552,12 @@
     @pytest.mark.proves(
         Promise.RIGHT_ADAPTER, Fault.OPERATOR_RACE, Step.QUEUED
     )
-    def test_requests_of_both_versions_run_each_on_its_own(self):
+    def test_each_request_runs_on_its_own_version(self):
         """An old request is answered by the new version, or the reverse.
 
-        Requests for version 1 wait; the contract moves to version 2 and
-        requests for it queue behind.  The cause would be waiting lists
-        by adapter name without its version.
+        Requests for version 1 wait when the contract changes to version
+        2, and requests for version 2 queue behind them.  This happens if
+        requests are grouped by adapter name without the version.
         """
 
         async def scenario(slots, engine):
@@ -582,7 +582,7 @@
 
 
 class SlotMachine(stateful.RuleBasedStateMachine):
-    """Random requests, ends, failures and restarts over the real slots."""
+    """Random requests, ends, failures and restarts on real slots."""
 
     names = strategies.sampled_from('abcdef')
 
@@ -604,7 +604,7 @@
         generation = self.engine.running
         async with self.slots.hold(name, DEADLINE_S):
             if name not in self.engine.held:
-                # Only a restart that is not noticed yet explains it.
+                # Only an undetected restart explains this.
                 assert self.engine.unnoticed
                 self.slots.remove(name)
                 return
@@ -660,7 +660,7 @@
 
     @stateful.rule()
     def restart_engine(self):
-        # New objects, so that runs of before do not count as of now.
+        # New objects, so that earlier runs are not counted as current.
         self.engine.held = set()
         self.engine.running = {}
         self.engine.unnoticed = True
@@ -674,25 +674,25 @@
 
         self.wait(notice())
 
-    def take_report(self):
+    def apply_report(self):
         running = self.engine.running
         busy = [name for name in running if running[name]]
-        take_report(self.slots, sorted(self.engine.held), busy)
+        apply_report(self.slots, sorted(self.engine.held), busy)
 
     @stateful.rule()
     def report(self):
         async def adopt():
             if not self.engine.unnoticed:
-                self.take_report()
+                self.apply_report()
 
         self.wait(adopt())
 
     @stateful.invariant()
-    def nothing_is_evicted_under_a_run(self):
-        assert not self.engine.wrong
+    def no_eviction_under_a_run(self):
+        assert not self.engine.violations
 
     @stateful.invariant()
-    def no_request_failed_but_by_refusal(self):
+    def requests_fail_only_by_refusal(self):
         for task, _ in self.tasks:
             if task.done() and not task.cancelled() and task.exception():
                 assert isinstance(task.exception(), errors.RefusalError)
@@ -709,10 +709,10 @@
                 *(task for task, _ in self.tasks), return_exceptions=True
             )
             await asyncio.sleep(DEADLINE_S)
-            self.take_report()
+            self.apply_report()
             await asyncio.sleep(DEADLINE_S)
-            self.take_report()
-            # Every hold was given back: three new adapters find room.
+            self.apply_report()
+            # Every hold was released: three new adapters get a slot.
             names = ['x', 'y', 'z']
             async with asyncio.TaskGroup() as group:
                 for name in names:
@@ -722,7 +722,7 @@
 
         try:
             self.wait(finish())
-            assert not self.engine.wrong
+            assert not self.engine.violations
         finally:
             self.wait(self.slots.close())
             self.loop.close()
@@ -744,10 +744,10 @@
     async def test_version_changes_while_requests_wait(self, tmp_path):
         """An old request is answered by the new version, or the reverse.
 
-        One engine with one slot.  Requests for version 1 run and wait
-        when the contract moves to version 2; more follow.  The cause
-        would be a version looked up when the request runs, not when it
-        was accepted.
+        Requests for version 1 run and wait at one engine with one slot
+        when the contract changes to version 2; more requests follow.
+        This happens if the version is looked up when the request runs,
+        not when it is accepted.
         """
         async with processes.Deployment(tmp_path) as deployment:
             await deployment.add_engine('--load-s', '0.3')
