--- a/lacewingpitch/adapter_homes.py
+++ b/lacewingpitch/adapter_homes.py
@@ -133,7 +133,7 @@
         # these, the home must be asked.
         active = costs.active()
         columns = costs.column_by_name
-        holders = self._holders.names(key)
+        holders = self._holders.holders(key)
         held = tuple(name for name in holders if columns.get(name) in active)
         return tuple(name for name in held if name in likely) or held
 
--- a/lacewingpitch/adapter_versions.py
+++ b/lacewingpitch/adapter_versions.py
@@ -1,4 +1,4 @@
-"""The versions of adapters that requests must run on at least."""
+"""The minimum adapter versions that requests must run on."""
 
 import dataclasses
 
@@ -17,17 +17,17 @@
 
 
 class AdapterVersions:
-    """The newest published version of each adapter that has a new one.
+    """The newest published version of each updated adapter.
 
-    A version never goes down: news of an older one may arrive late, by
-    way of another process.
+    Versions never decrease: an update with an older version may arrive
+    late from another process.
     """
 
     def __init__(self) -> None:
         self._versions: dict[tuple[str, str], int] = {}
 
     def record(self, model: str, adapter: str, version: int) -> bool:
-        """Take note of a version; return whether it is news."""
+        """Record a published version; return whether it is newer."""
         key = (model, adapter)
         if version <= self._versions.get(key, 0):
             return False
@@ -41,14 +41,14 @@
         return True
 
     def all(self) -> tuple[AdapterVersion, ...]:
-        """Return the newest version of each adapter that has a new one."""
+        """Return the newest version of each updated adapter."""
         return tuple(
             AdapterVersion(model, adapter, version)
             for (model, adapter), version in self._versions.items()
         )
 
     def required_version(self, model: str, adapter: str) -> int:
-        """Return the version to run on; 0 if any will do."""
+        """Return the minimum version to run on; 0 if any version will do."""
         return self._versions.get((model, adapter), 0)
 
 
@@ -58,7 +58,7 @@
     Parameters
     ----------
     version
-        Version that is wanted; 0 if any will do.
+        Required version; 0 if any version will do.
     """
     name = f'{model}/{adapter}'
     return f'{name}@{version}' if version else name
--- a/lacewingpitch/demand.py
+++ b/lacewingpitch/demand.py
@@ -1,4 +1,4 @@
-"""Counts that fade, for telling hot adapters from cold ones."""
+"""Exponentially decaying counts, to tell hot adapters from cold ones."""
 
 import collections
 import math
@@ -7,11 +7,11 @@
 
 
 class DecayedCounts:
-    """How often each key was asked for of late.
+    """Recent requests for each key, with exponential decay.
 
-    A count halves every `half_life_s`, so that recency and frequency
-    weigh together, as in LRFU (Lee et al., 2001).  The least recently
-    counted keys are forgotten past `capacity_keys`.
+    A count halves every `half_life_s`, so that it combines recency and
+    frequency, as in LRFU (Lee et al., 2001).  Beyond `capacity_keys`,
+    the least recently counted keys are dropped.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         )
 
     def __len__(self) -> int:
-        """Return how many keys are remembered."""
+        """Return how many keys have a count."""
         return len(self._counts)
 
     def add(self, key: str) -> None:
@@ -40,11 +40,11 @@
             self._counts.popitem(last=False)
 
     def rate_per_s(self, key: str) -> float:
-        """Return how often `key` is asked for, as of late."""
+        """Return the recent request rate of `key`."""
         return self.count(key) * math.log(2.0) / self._half_life_s
 
     def count(self, key: str) -> float:
-        """Return the faded count of `key`."""
+        """Return the decayed count of `key`."""
         found = self._counts.get(key)
         if found is None:
             return 0.0
--- a/lacewingpitch/hint.py
+++ b/lacewingpitch/hint.py
@@ -1,8 +1,8 @@
-"""What a sidecar tells entry instances of its engine, on its answers.
+"""Hints: load reports of an engine that its sidecar adds to answers.
 
-A hint may be late, lost or wrong.  It then costs time: the request
-meets an engine that must load its adapter first.  Which adapter a
-request runs on never depends on it.
+A late, lost or wrong hint costs only time: the request reaches an
+engine that must load its adapter first.  The adapter that a request
+runs on never depends on hints.
 """
 
 import base64
@@ -18,30 +18,32 @@
 
 
 class Hint(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """State of one engine as its sidecar saw it.
+    """State of one engine as its sidecar reports it.
 
     Parameters
     ----------
     running
-        Requests that the engine works on.
+        Requests that the engine is running.
     queued
-        Requests that wait for their adapter or for a turn.
+        Requests that wait for their adapter or for a turn, which is a
+        lease on one of the engine's concurrent execution slots.
     max_running
         Requests that the engine batches at once.
     load_wait_ms
-        What a request for an adapter that is not held would wait.
+        Expected wait of a request for an adapter that is not held.
     spare_slots
-        Slots that are free, or whose adapter has not been used of late.
+        Slots that are free, or whose adapter has not been used recently.
     adapters
-        Fingerprints of the adapters that the engine holds, joined.
+        Concatenated fingerprints of the adapters that the engine holds.
     turn_wait_ms
-        What a request that came now would wait for its prompt's turn.
+        Expected wait of a request that arrives now until its prompt is
+        processed.
     copy_wait_ms
-        What a request would wait for an adapter that is not held, and of
-        which the engine kept a copy.
+        Expected wait of a request for an adapter that is not held but of
+        which the engine cached a copy.
     copy_count
-        Copies that the engine keeps of adapters that it held; 0 if it
-        is not known to keep any.
+        How many copies of evicted adapters the engine caches; 0 if none
+        are known.
     """
 
     running: Count
@@ -56,7 +58,7 @@
 
     @property
     def fingerprints(self) -> frozenset[bytes]:
-        """Return the fingerprints of the adapters held."""
+        """Return the fingerprints of the adapters that the engine holds."""
         return frozenset(
             self.adapters[start : start + _FINGERPRINT_BYTES]
             for start in range(0, len(self.adapters), _FINGERPRINT_BYTES)
@@ -64,25 +66,25 @@
 
 
 def fingerprint(engine_name: str) -> bytes:
-    """Return the short name of an adapter in hints.
+    """Return the hash that stands for an adapter in hints.
 
-    Two adapters may share one; the cost is a detour, not an error.
+    A collision costs a detour to another engine, not an error.
     """
     return xxhash.xxh32_digest(engine_name.encode())
 
 
 def encode_fingerprints(engine_names: Iterable[str]) -> bytes:
-    """Return the compact form of a set of adapters."""
+    """Return the concatenated fingerprints of a set of adapters."""
     return b''.join(fingerprint(name) for name in sorted(engine_names))
 
 
 def encode_hint(hint: Hint) -> str:
-    """Return a hint as the text of a header."""
+    """Encode a hint as the value of a header."""
     return base64.b64encode(msgspec.msgpack.encode(hint)).decode('ascii')
 
 
 def decode_hint(text: str) -> Hint | None:
-    """Return the hint in a header; ``None`` if there is none to use."""
+    """Decode the hint of a header; return ``None`` if it is invalid."""
     if not text or len(text) > MAX_HINT_CHARS:
         return None
     try:
--- a/lacewingpitch/listed_instances.py
+++ b/lacewingpitch/listed_instances.py
@@ -1,4 +1,4 @@
-"""The listed backend servers, as placement knows them."""
+"""The published backend servers as instances that placement ranks."""
 
 from collections.abc import Iterator, Mapping, Sequence
 
@@ -9,10 +9,10 @@
 
 
 class ListedInstances:
-    """Keeps placement informed of the published list.
+    """Converts the published list and passes its changes to placement.
 
-    Placement knows a list by its identity, so that one which is the same
-    as before stays the same object.
+    Placement caches by the identity of a list, so an unchanged list must
+    stay the same object.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
             ],
         ] = {}
 
-    def of(self, service: str) -> Sequence[live_list.Instance]:
+    def serving(self, service: str) -> Sequence[live_list.Instance]:
         """Return the instances that serve a service."""
         servers = self._servers.serving(service)
         known = self._known.get(service)
@@ -38,16 +38,16 @@
             return known[1]
         found = tuple(map(_instance, servers))
         if known is not None and known[1] == found:
-            # It would weigh all engines anew each time that one of them
-            # loads an adapter.
+            # A new object would make placement compute the costs of all
+            # engines again whenever one of them loads an adapter.
             found = known[1]
         else:
             self._retain(service, found)
-        self._learn_listed(known[0] if known else (), servers)
+        self._apply_listed_adapters(known[0] if known else (), servers)
         self._known[service] = (servers, found)
         return found
 
-    def _learn_listed(
+    def _apply_listed_adapters(
         self,
         before: Sequence[backend_list.BackendServer],
         servers: Sequence[backend_list.BackendServer],
@@ -72,7 +72,8 @@
 
 
 def _slot_names(adapters: Mapping[str, int]) -> Iterator[str]:
-    # A request names a version only once a newer one was published.
+    # Requests name a version only after a newer one has been published,
+    # so the adapter is listed with and without its version.
     for key, version in adapters.items():
         model, _, adapter = key.partition('/')
         yield adapter_versions.slot_name(model, adapter, 0)
--- a/lacewingpitch/placement.py
+++ b/lacewingpitch/placement.py
@@ -152,8 +152,8 @@
         self, key: str, costs: placement_costs.PlacementCosts
     ) -> list[live_list.Instance]:
         active = costs.active()
-        holders = frozenset(costs.columns_of(self._holders.names(key)))
-        copies = costs.columns_of(self._holders.names_with_copy(key))
+        holders = frozenset(costs.columns_of(self._holders.holders(key)))
+        copies = costs.columns_of(self._holders.copy_holders(key))
         waits_s = costs.waits_s(holders, copies)
         by_hash = costs.columns_by_hash(key)
         if self._homes is None:
@@ -194,7 +194,7 @@
         self._drop_old_hints()
         self._demand.add(key)
         state.sent_since_hint += 1
-        state.loads_since_hint += instance not in self._holders.names(key)
+        state.loads_since_hint += instance not in self._holders.holders(key)
         state.in_progress_count += 1
         self._mark_stale(state)
         try:
@@ -304,7 +304,7 @@
     ) -> None:
         if state.hint is None:
             return
-        self._holders.forget_hint(instance, state.hint)
+        self._holders.revoke_hint(instance, state.hint)
         state.hint = None
 
     def _costs_for(
--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -32,7 +32,7 @@
         self, wanted: wanted_turn.WantedTurn, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
         """Return the engines whose sidecars are asked, in their order."""
-        instances = self._instances.of(wanted.service)
+        instances = self._instances.serving(wanted.service)
         ranked = self._placement.ranked_instances(
             wanted.key or wanted.run_id, instances
         )
--- a/tests/test_adapter_versions.py
+++ b/tests/test_adapter_versions.py
@@ -1,10 +1,10 @@
-"""Versions of adapters only rise."""
+"""Adapter versions never decrease."""
 
 from lacewingpitch import adapter_versions
 
 
 class TestAdapterVersions:
-    def test_news_of_an_older_version_is_none(self):
+    def test_older_version_is_ignored(self):
         versions = adapter_versions.AdapterVersions()
         assert versions.record('m', 'a', 3)
         assert not versions.record('m', 'a', 2)
@@ -14,6 +14,6 @@
 
 
 class TestSlotName:
-    def test_names_the_version_only_where_one_is_wanted(self):
+    def test_contains_the_version_only_if_one_is_required(self):
         assert adapter_versions.slot_name('m', 'a', 0) == 'm/a'
         assert adapter_versions.slot_name('m', 'a', 2) == 'm/a@2'
--- a/tests/test_cached_copies.py
+++ b/tests/test_cached_copies.py
@@ -1,4 +1,4 @@
-"""Which engines may have kept a copy of an adapter."""
+"""Which engines may have cached a copy of an adapter."""
 
 import pytest
 
@@ -10,36 +10,36 @@
     return cached_copies.CachedCopies()
 
 
-class TestNames:
-    def test_of_those_that_gave_it_up(self, copies):
-        copies.note('e1', [b'a', b'b'])
-        copies.note('e2', [b'a'])
-        assert copies.names(b'a') == {'e1', 'e2'}
-        assert copies.names(b'b') == {'e1'}
-        assert copies.names(b'c') == set()
-
-    def test_an_engine_keeps_what_it_gave_up_last(self, copies):
-        copies.limit('e1', 2)
-        copies.note('e1', [b'a'])
-        copies.note('e1', [b'b'])
-        copies.note('e1', [b'a'])
-        copies.note('e1', [b'c'])
-        assert copies.names(b'a') == {'e1'}
-        assert copies.names(b'b') == set()
-
-    def test_an_engine_may_turn_out_to_keep_fewer(self, copies):
-        copies.note('e1', [b'a'])
-        copies.note('e1', [b'b'])
-        copies.limit('e1', 1)
-        assert copies.names(b'a') == set()
-        assert copies.names(b'b') == {'e1'}
-
-    def test_one_that_keeps_none_has_none(self, copies):
-        copies.limit('e1', 0)
-        copies.note('e1', [b'a'])
-        assert copies.names(b'a') == set()
-
-    def test_one_that_is_forgotten_has_none(self, copies):
-        copies.note('e1', [b'a'])
+class TestHolders:
+    def test_are_the_engines_that_evicted_it(self, copies):
+        copies.record_evictions('e1', [b'a', b'b'])
+        copies.record_evictions('e2', [b'a'])
+        assert copies.holders(b'a') == {'e1', 'e2'}
+        assert copies.holders(b'b') == {'e1'}
+        assert copies.holders(b'c') == set()
+
+    def test_an_engine_caches_its_last_evictions(self, copies):
+        copies.set_copy_count('e1', 2)
+        copies.record_evictions('e1', [b'a'])
+        copies.record_evictions('e1', [b'b'])
+        copies.record_evictions('e1', [b'a'])
+        copies.record_evictions('e1', [b'c'])
+        assert copies.holders(b'a') == {'e1'}
+        assert copies.holders(b'b') == set()
+
+    def test_copy_count_may_decrease(self, copies):
+        copies.record_evictions('e1', [b'a'])
+        copies.record_evictions('e1', [b'b'])
+        copies.set_copy_count('e1', 1)
+        assert copies.holders(b'a') == set()
+        assert copies.holders(b'b') == {'e1'}
+
+    def test_engine_without_copies_has_none(self, copies):
+        copies.set_copy_count('e1', 0)
+        copies.record_evictions('e1', [b'a'])
+        assert copies.holders(b'a') == set()
+
+    def test_forgotten_engine_has_none(self, copies):
+        copies.record_evictions('e1', [b'a'])
         copies.forget('e1')
-        assert copies.names(b'a') == set()
+        assert copies.holders(b'a') == set()
--- a/tests/test_hint.py
+++ b/tests/test_hint.py
@@ -1,4 +1,4 @@
-"""Hints on answers."""
+"""Encoding of hints, and hints on answers."""
 
 import base64
 
@@ -28,7 +28,7 @@
 
 
 class TestHint:
-    def test_survives_the_header(self):
+    def test_header_round_trip(self):
         found = hint.decode_hint(hint.encode_hint(make_hint()))
         assert found == make_hint()
         assert hint.fingerprint('fern@1') in found.fingerprints
@@ -51,15 +51,15 @@
 
 
 class TestBadHint:
-    """A sidecar that is broken or of another version must not harm."""
+    """A broken sidecar, or one of another version, must do no harm."""
 
     @hypothesis.given(strategies.text())
-    def test_any_text_is_dropped_or_a_hint(self, text):
+    def test_any_text_is_dropped_or_decoded(self, text):
         found = hint.decode_hint(text)
         assert found is None or isinstance(found, hint.Hint)
 
     @hypothesis.given(strategies.binary(max_size=64))
-    def test_any_bytes_are_dropped_or_a_hint(self, data):
+    def test_any_bytes_are_dropped_or_decoded(self, data):
         found = hint.decode_hint(base64.b64encode(data).decode())
         assert found is None or found.max_running >= 1
 
@@ -67,7 +67,7 @@
         data = msgspec.msgpack.encode([-3, 1, 0, 500])
         assert hint.decode_hint(base64.b64encode(data).decode()) is None
 
-    def test_an_overlong_one_is_dropped(self):
+    def test_overlong_header_is_dropped(self):
         text = hint.encode_hint(make_hint(adapters=bytes(4096)))
         assert hint.decode_hint(text) is None
 
