--- a/lacewingpitch/directory.py
+++ b/lacewingpitch/directory.py
@@ -1,11 +1,13 @@
-"""Where adapters were placed, so that entry instances agree on it.
-
-The home of an adapter, by rendezvous hash over the sidecars, remembers
-in memory which backend servers it was given to.  An entry instance that
-does not see the adapter held anywhere asks the home first.  Without it,
-two entry instances with different hints would each have the adapter
-loaded on another engine.  A home that is lost or asked twice costs a
-load; nothing else follows from what it says.
+"""A directory that makes entry instances agree where adapters are placed.
+
+The home of an adapter is the sidecar that holds its directory entry, by
+rendezvous hash over the sidecars.  The entry lists the backend servers
+that the adapter is assigned to, and is kept in memory only.  An entry
+instance that knows of no engine that holds the adapter asks the home
+first.  Without the directory, two entry instances with different hints
+would each have the adapter loaded on another engine.  A lost home or a
+duplicate request costs at most a load; correctness does not depend on
+the directory.
 """
 
 import collections
@@ -19,36 +21,39 @@
 from lacewingpitch import link
 from lacewingpitch import live_list
 
-# Entry instances that see an adapter held do not ask for a while.
-_KEEP_S = 45.0
-_KEEP_EXTRA_S = 60.0
-_STAY_S = 20.0
-_CAPACITY_KEYS = 8192
-_MAX_PLACES = 64
-_ASK_TIMEOUT_S = 0.25
+# Entry instances that know an engine that holds an adapter do not renew
+# its entry for a while, so it must outlive these pauses.
+_ENTRY_TTL_S = 45.0
+_EXTRA_ASSIGNMENT_TTL_S = 60.0
+_MIN_STAY_S = 20.0
+_MAX_ENTRIES = 8192
+_MAX_ASSIGNMENTS = 64
+_LOCATE_TIMEOUT_S = 0.25
 
 
 def retention_priority(instance: str) -> int:
-    """Return a number by which the lowest fall out of use first.
+    """Return a priority by which instances stay in use.
 
-    It is the same at every process, whatever its list of instances.
+    The instances with the lowest priority are parked first.  The
+    priority is the same in every process, whatever its list of
+    instances.
     """
     return xxhash.xxh3_64_intdigest(f'active/{instance}'.encode())
 
 
 class LocateRequest(link.Message, frozen=True):
-    """Asks a home where an adapter is to be used.
+    """Asks a home which backend servers an adapter is assigned to.
 
     Parameters
     ----------
     wanted
-        Number of backend servers that its demand calls for.
+        Number of backend servers that the adapter's demand requires.
     proposals
-        Where the asker would have it, best first.
+        Where the requester would place it, best first.
     parked_below
-        The asker would have backend servers of a lower standing fall
-        out of use.  At hundreds of them their names would make up most
-        of what an entry instance sends.
+        The requester would park backend servers with a lower retention
+        priority.  With hundreds of parked servers, a list of their names
+        would make up most of what an entry instance sends.
     """
 
     key: str
@@ -58,97 +63,103 @@
 
 
 class LocateReply(link.Message, frozen=True):
-    """The backend servers that the adapter is to be used on."""
+    """The backend servers that the adapter is assigned to."""
 
     instances: tuple[str, ...]
 
 
 class DirectoryLink(Protocol):
-    """Way to the home of an adapter."""
+    """Sends requests to the home of an adapter."""
 
     async def locate(
         self, home: live_list.Instance, request: LocateRequest
     ) -> LocateReply:
-        """Ask a home where an adapter is to be used."""
+        """Ask a home which backend servers an adapter is assigned to."""
         ...
 
 
 @dataclasses.dataclass(slots=True)
-class _Place:
+class _Assignment:
     instance: str
     since_s: float
 
 
 @dataclasses.dataclass(slots=True)
-class _Places:
-    asked_at_s: float
-    places: list[_Place] = dataclasses.field(default_factory=list)
+class _Entry:
+    requested_at_s: float
+    assignments: list[_Assignment] = dataclasses.field(default_factory=list)
 
 
 class Directory:
-    """The adapters whose home is here, and where they are used."""
+    """The directory entries of the adapters whose home is this sidecar."""
 
     def __init__(self, clock: clock_module.Clock) -> None:
         self._clock = clock
-        self._known: collections.OrderedDict[str, _Places] = (
+        self._entries: collections.OrderedDict[str, _Entry] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Return how many adapters are remembered."""
-        return len(self._known)
+        """Return the number of entries."""
+        return len(self._entries)
 
     async def locate(self, request: LocateRequest) -> LocateReply:
-        """Return where an adapter is used, or decide it now."""
+        """Return the assignments of an adapter; add proposals if needed."""
         now_s = self._clock.monotonic_s()
-        known = self._known.pop(request.key, None)
-        if known is None or now_s - known.asked_at_s >= _KEEP_S:
-            known = _Places(now_s)
-        known.asked_at_s = now_s
-        self._drop_extras(known, now_s)
+        entry = self._entries.pop(request.key, None)
+        if entry is None or now_s - entry.requested_at_s >= _ENTRY_TTL_S:
+            entry = _Entry(now_s)
+        entry.requested_at_s = now_s
+        self._drop_extras(entry, now_s)
         if request.proposals:
-            self._drop_parked(known, request.parked_below, now_s)
-        wanted = min(request.wanted, _MAX_PLACES)
+            self._drop_parked(entry, request.parked_below, now_s)
+        wanted = min(request.wanted, _MAX_ASSIGNMENTS)
         for name in request.proposals:
-            if len(known.places) >= wanted:
+            if len(entry.assignments) >= wanted:
                 break
-            if all(place.instance != name for place in known.places):
-                known.places.append(_Place(name, now_s))
-        self._known[request.key] = known
-        if len(self._known) > _CAPACITY_KEYS:
-            self._known.popitem(last=False)
+            if all(
+                assignment.instance != name for assignment in entry.assignments
+            ):
+                entry.assignments.append(_Assignment(name, now_s))
+        self._entries[request.key] = entry
+        if len(self._entries) > _MAX_ENTRIES:
+            self._entries.popitem(last=False)
         return LocateReply(
-            instances=tuple(place.instance for place in known.places)
+            instances=tuple(
+                assignment.instance for assignment in entry.assignments
+            )
         )
 
     def retain_instances(self, listed: frozenset[str]) -> None:
-        """Drop places on backend servers that are listed no more."""
-        for known in self._known.values():
-            known.places = [p for p in known.places if p.instance in listed]
+        """Drop the assignments to backend servers that are not listed."""
+        for entry in self._entries.values():
+            entry.assignments = [
+                a for a in entry.assignments if a.instance in listed
+            ]
 
     @staticmethod
-    def _drop_extras(known: _Places, now_s: float) -> None:
-        known.places[1:] = [
-            place
-            for place in known.places[1:]
-            if now_s - place.since_s < _KEEP_EXTRA_S
+    def _drop_extras(entry: _Entry, now_s: float) -> None:
+        entry.assignments[1:] = [
+            assignment
+            for assignment in entry.assignments[1:]
+            if now_s - assignment.since_s < _EXTRA_ASSIGNMENT_TTL_S
         ]
 
     @staticmethod
-    def _drop_parked(known: _Places, parked_below: int, now_s: float) -> None:
-        # Entry instances differ for a while in what they would park.
-        # Without a least stay an adapter would move back and forth, and
-        # load each time.
-        known.places = [
-            place
-            for place in known.places
-            if retention_priority(place.instance) >= parked_below
-            or now_s - place.since_s < _STAY_S
+    def _drop_parked(entry: _Entry, parked_below: int, now_s: float) -> None:
+        # Entry instances temporarily disagree on which servers to park.
+        # Without a minimum stay, an adapter would move back and forth
+        # between servers and be loaded each time.
+        entry.assignments = [
+            assignment
+            for assignment in entry.assignments
+            if retention_priority(assignment.instance) >= parked_below
+            or now_s - assignment.since_s < _MIN_STAY_S
         ]
 
 
 class ControlDirectoryLink:
-    """Asks homes by control message."""
+    """Sends requests to homes as control messages."""
 
     def __init__(self, peers: link.PeerPool) -> None:
         self._peers = peers
@@ -156,15 +167,15 @@
     async def locate(
         self, home: live_list.Instance, request: LocateRequest
     ) -> LocateReply:
-        """Ask a home where an adapter is to be used.
+        """Ask a home which backend servers an adapter is assigned to.
 
         Raises
         ------
         LinkError
-            It does not answer.
+            The home does not answer.
         """
         peer = self._peers.peer(home.ip, home.control_port)
-        return await peer.ask(request, LocateReply, _ASK_TIMEOUT_S)
+        return await peer.ask(request, LocateReply, _LOCATE_TIMEOUT_S)
 
 
 def serve_directory(
@@ -172,7 +183,7 @@
     control: link.ControlServer,
     changes: reactivex.Observable[live_list.InstanceList],
 ) -> None:
-    """Answer the questions that reach this process as a home."""
+    """Answer the requests that this process receives as a home."""
     control.handle(LocateRequest, directory.locate)
     changes.subscribe(
         lambda published: directory.retain_instances(
--- a/lacewingpitch/engine.py
+++ b/lacewingpitch/engine.py
@@ -1,4 +1,7 @@
-"""The model engine beside a sidecar: the one module that knows its ways."""
+"""Client of the model engine beside a sidecar.
+
+No other module depends on the engine's HTTP interface.
+"""
 
 from collections.abc import AsyncIterator, Mapping
 import contextlib
@@ -16,26 +19,27 @@
 _ORDER_TIMEOUT_S = 120.0
 _REPORT_TIMEOUT_S = 2.0
 _CONNECT_TIMEOUT_S = 2.0
-_SILENCE_TIMEOUT_S = 60.0
+_IDLE_TIMEOUT_S = 60.0
 _HTTP_CONFLICT = 409
 _MAX_REPORT_BYTES = 1 << 20
 
 
 class EngineReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of itself; it lags.
+    """The state that an engine reports; it lags behind the real one.
 
     Parameters
     ----------
     incarnation
-        Changes when the engine restarts, and so is empty.
+        Changes when the engine restarts, which empties it.
     last_fencing
-        Highest fencing number of an order that it took.
+        Highest fencing token of an order that it accepted.
     adapter_slots
-        Adapters that it can hold; 0 if it does not say.
+        How many adapters it can hold; 0 if it does not report this.
     adapters
         Engine names of the adapters that it holds.
     running_by_adapter
-        Requests that run on each; empty if the engine does not say.
+        Running requests of each adapter; empty if it does not report
+        them.
     """
 
     incarnation: str
@@ -47,7 +51,11 @@
     running_by_adapter: Mapping[str, int] = {}
 
     def running_on(self, adapter: str) -> int:
-        """Return how many requests may run on an adapter."""
+        """Return how many requests run on an adapter, at most.
+
+        If the engine does not report them by adapter, this is the number
+        of all running requests.
+        """
         if self.running_by_adapter:
             return self.running_by_adapter.get(adapter, 0)
         return self.running
@@ -55,12 +63,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCall:
-    """One request as it is passed on to the engine.
+    """A request to run on the engine.
 
     Parameters
     ----------
     run_id
-        Names this run at the engine, for cancelling and resuming.
+        Identifies the run at the engine, to cancel or resume it.
     body
         The caller's JSON; its ``model`` is replaced.
     """
@@ -76,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineAnswer:
-    """The head of an engine's answer and its body as it comes."""
+    """The head of an engine's answer and its body as a stream of chunks."""
 
     status: int
     content_type: str
@@ -85,19 +93,19 @@
 
 
 class FencedError(errors.PlatformError):
-    """The engine has taken orders with a higher fencing number."""
+    """The engine has accepted an order with a higher fencing token."""
 
 
 class AdapterMissingError(errors.PlatformError):
-    """The engine does not hold the adapter, so the call did not run."""
+    """The engine does not hold the adapter; the call did not run."""
 
 
 class NotSentError(errors.PlatformError):
-    """No connection to the engine, so the call did not run."""
+    """No connection to the engine; the call did not run."""
 
 
 class AdapterHost(Protocol):
-    """What holds adapters, and takes orders about them."""
+    """Holds adapters; loads and evicts them on order."""
 
     async def load_adapter(self, name: str, fencing: int) -> None:
         """Order the engine to load an adapter, and wait for it."""
@@ -109,22 +117,22 @@
 
 
 class Engine(AdapterHost, Protocol):
-    """What a sidecar needs of its model engine."""
+    """The operations of a model engine that a sidecar needs."""
 
     async def report(self) -> EngineReport:
-        """Return what the engine says of itself."""
+        """Return the engine's report of its state."""
         ...
 
     def run(
         self, call: EngineCall
     ) -> contextlib.AbstractAsyncContextManager[EngineAnswer]:
-        """Pass a request on."""
+        """Run a request and yield the answer."""
         ...
 
     def resume(
         self, call: EngineCall, after_events: int
     ) -> contextlib.AbstractAsyncContextManager[EngineAnswer]:
-        """Take up the stream of an earlier run after some events."""
+        """Resume the stream of an earlier run after `after_events`."""
         ...
 
     async def cancel(self, run_id: str) -> None:
@@ -133,14 +141,14 @@
 
 
 class HttpEngine:
-    """An engine with OpenAI-style completions and adapter calls."""
+    """An engine with OpenAI-style endpoints for completions and adapters."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
         self._url = url
 
     async def report(self) -> EngineReport:
-        """Return what the engine says of itself.
+        """Return the engine's report of its state.
 
         Raises
         ------
@@ -164,7 +172,7 @@
         Raises
         ------
         FencedError
-            Another sidecar has given orders since.
+            Another sidecar has given orders since then.
         PlatformError
             The load failed.
         """
@@ -176,7 +184,7 @@
         Raises
         ------
         FencedError
-            Another sidecar has given orders since.
+            Another sidecar has given orders since then.
         PlatformError
             The order failed.
         """
@@ -184,14 +192,14 @@
 
     @contextlib.asynccontextmanager
     async def run(self, call: EngineCall) -> AsyncIterator[EngineAnswer]:
-        """Pass a request on.
+        """Run a request and yield the answer.
 
         Raises
         ------
         NotSentError, AdapterMissingError, FencedError
             The request did not run.
         PlatformError
-            The engine broke off; the request may have run.
+            The answer was cut off; the request may have run.
         """
         body = _with_model(call.body, call.adapter.engine_name)
         async with self._post(call.path, call, body) as answer:
@@ -201,7 +209,7 @@
     async def resume(
         self, call: EngineCall, after_events: int
     ) -> AsyncIterator[EngineAnswer]:
-        """Take up the stream of an earlier run after some events.
+        """Resume the stream of an earlier run after `after_events`.
 
         Raises
         ------
@@ -217,7 +225,7 @@
             yield answer
 
     async def cancel(self, run_id: str) -> None:
-        """Stop a run; a run that is over is none of its business."""
+        """Stop a run; do nothing if it has already ended."""
         timeout = aiohttp.ClientTimeout(total=_REPORT_TIMEOUT_S)
         with platform_call.platform_errors('engine'):
             async with self._session.post(
@@ -245,8 +253,8 @@
     ) -> AsyncIterator[EngineAnswer]:
         headers = {
             'Content-Type': 'application/json',
-            # What is passed on must not be compressed: its events could
-            # not be told apart, and the caller did not ask for it.
+            # A compressed stream could not be split into events, and the
+            # caller did not ask for compression.
             'Accept-Encoding': 'identity',
             'X-Request-Id': call.run_id,
             'X-Priority': call.urgency.value,
@@ -255,16 +263,16 @@
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=_CONNECT_TIMEOUT_S
         )
-        # An engine that hangs keeps its connection and sends nothing, and
-        # its requests would wait for ever.  The library's own timeout for
-        # that sets a timer for each piece that comes.
-        silence = idle_timeout.IdleTimeout(_SILENCE_TIMEOUT_S)
+        # A hanging engine keeps its connection open and sends nothing, so
+        # its requests would wait for ever.  The HTTP library's own idle
+        # timeout would set a timer for each chunk.
+        idle_limit = idle_timeout.IdleTimeout(_IDLE_TIMEOUT_S)
         with (
-            contextlib.closing(silence),
+            contextlib.closing(idle_limit),
             platform_call.platform_errors('engine'),
         ):
             try:
-                with silence:
+                with idle_limit:
                     response = await self._session.post(
                         f'{self._url}{path}',
                         data=body,
@@ -285,15 +293,15 @@
                     response.status,
                     response.content_type,
                     response.headers.get('X-Adapter', ''),
-                    _chunks(response.content, silence),
+                    _chunks(response.content, idle_limit),
                 )
 
 
 async def _chunks(
-    content: aiohttp.StreamReader, silence: idle_timeout.IdleTimeout
+    content: aiohttp.StreamReader, idle_limit: idle_timeout.IdleTimeout
 ) -> AsyncIterator[bytes]:
     while True:
-        with silence:
+        with idle_limit:
             chunk = await content.readany()
         if not chunk:
             return
--- a/lacewingpitch/engine_runner.py
+++ b/lacewingpitch/engine_runner.py
@@ -1,4 +1,4 @@
-"""How a sidecar runs completions on a model engine."""
+"""Runs the completions of a sidecar on its model engine."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -28,12 +28,12 @@
 _RESUME_DELAYS_S = (0.0, 0.1, 0.5)
 _MAX_EXCERPT_BYTES = 500
 _OK_STATUSES = range(200, 300)
-# An engine that answers these has looked at the call and not run it.
+# With one of these statuses, the engine has rejected the call unrun.
 _REFUSED_STATUSES = frozenset({400, 404, 405, 413, 415, 422})
 _BUSY_STATUSES = frozenset({429, 503})
 _EVENT_STREAM = 'text/event-stream'
 _MS_PER_S = 1000
-# How much more a wait costs the more urgent of two customers.
+# Waiting costs by urgency, relative to each other.
 _URGENCY_WEIGHTS = {
     contract.Urgency.INTERACTIVE: 4.0,
     contract.Urgency.STANDARD: 2.0,
@@ -43,7 +43,10 @@
 
 
 class EngineRunner:
-    """Runs completions on a model engine, each on its own adapter."""
+    """Runs completions on a model engine, each on its adapter.
+
+    It polls the engine's report to detect restarts.
+    """
 
     def __init__(
         self,
@@ -62,13 +65,13 @@
         self._queue = queue
         self._stalls_s: dict[str, float] = {}
         self._exits = contextlib.AsyncExitStack()
-        self._attached = asyncio.Event()
+        self._report_received = asyncio.Event()
 
     async def __aenter__(self) -> Self:
-        """Start to watch the engine for restarts."""
+        """Start polling the engine's report."""
         self._exits.push_async_callback(self._slots.close)
-        watching = asyncio.create_task(self._watch())
-        self._exits.callback(watching.cancel)
+        polling = asyncio.create_task(self._poll_reports())
+        self._exits.callback(polling.cancel)
         return self
 
     async def __aexit__(
@@ -77,39 +80,40 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop watching."""
+        """Stop polling, and cancel the loads in progress."""
         await self._exits.aclose()
 
     def holds(self, order: work.WorkOrder) -> bool:
         """Whether the engine holds the request's adapter."""
-        # This is asked in the task of whichever request ended: an order
-        # that came here by mistake must fail in its own task only.
+        # This runs in the task of another request that has ended.
+        # An order without an adapter, which is sent here by mistake, must
+        # fail only in its own task.
         if order.adapter is None:
             return False
         return self._slots.holds(order.adapter.engine_name)
 
     def expected_wait_s(self, order: work.WorkOrder) -> float:
-        """Return what the request would wait for its adapter."""
+        """Return the expected wait of the request for its adapter."""
         if order.adapter is None:
             return 0.0
         return self._slots.expected_wait_s(order.adapter.engine_name)
 
     @contextlib.asynccontextmanager
     async def ready(self, order: work.WorkOrder) -> AsyncIterator[None]:
-        """Hold the request's adapter in the engine.
+        """Hold the request's adapter while the context is open.
 
         Raises
         ------
         RefusalError
-            It cannot be loaded, or not in time.
+            The adapter cannot be loaded, or not in time.
         """
         assert order.adapter is not None
         run_id = voiding.attempt_id(order.request_id, order.attempt)
         weight = order.weight * _URGENCY_WEIGHTS[order.urgency]
-        # No order precedes the engine's report: the number of an order
-        # would be below the last one, and an adapter under a run that an
-        # earlier sidecar left would seem idle.
-        await self._attached.wait()
+        # No order is sent before the first report of the engine.  Its
+        # fencing token would be lower than the engine's last one, and an
+        # adapter with a run left by an earlier sidecar would seem idle.
+        await self._report_received.wait()
         async with self._slots.hold(
             order.adapter.engine_name, order.deadline_s, weight
         ) as stall_s:
@@ -122,35 +126,36 @@
     async def run(
         self, order: work.WorkOrder, body: bytes, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
-        """Pass the request on.
+        """Run the request; return its answer unless it is streamed.
 
         Raises
         ------
         RefusalError
-            There is no whole answer; says whether the request ran.
+            There is no complete answer; the error says whether the
+            request ran.
         """
-        call = self._call(order, body)
+        call = self._engine_call(order, body)
         relay = event_stream.EventRelay()
         try:
-            async with self._engine.run(call) as found:
-                await _check_status(found)
-                self._check_adapter(found, call)
-                delivery.headers.update(self._headers(call))
-                if found.content_type != _EVENT_STREAM:
-                    return await _whole(found)
-                await delivery.begin(found.status, found.content_type)
-                await _relay(delivery, relay, found)
+            async with self._engine.run(call) as response:
+                await _check_status(response)
+                self._check_adapter(response, call)
+                delivery.headers.update(self._answer_headers(call))
+                if response.content_type != _EVENT_STREAM:
+                    return await _read_answer(response)
+                await delivery.begin(response.status, response.content_type)
+                await _relay(delivery, relay, response)
         except asyncio.CancelledError:
             await self._cancel(call.run_id)
             raise
         except engine_module.AdapterMissingError as error:
             self._slots.remove(call.adapter.engine_name)
-            raise _unavailable(error) from error
+            raise _adapter_unavailable(error) from error
         except (
             engine_module.NotSentError,
             engine_module.FencedError,
         ) as error:
-            raise _unavailable(error) from error
+            raise _adapter_unavailable(error) from error
         except errors.PlatformError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.OUTCOME_UNKNOWN, str(error)
@@ -161,21 +166,23 @@
     async def resume(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> None:
-        """Deliver the rest of a stream whose delivery broke.
+        """Deliver the rest of a stream whose delivery was cut off.
 
         Raises
         ------
         RefusalError
-            The engine cannot resume it; nothing was delivered.
+            The engine cannot resume the stream; nothing was delivered.
         """
-        call = self._call(order, b'')
+        call = self._engine_call(order, b'')
         relay = event_stream.EventRelay()
         relay.event_count = order.after_events
         try:
-            async with self._engine.resume(call, order.after_events) as found:
-                self._check_adapter(found, call)
-                await delivery.begin(found.status, found.content_type)
-                await _relay(delivery, relay, found)
+            async with self._engine.resume(
+                call, order.after_events
+            ) as response:
+                self._check_adapter(response, call)
+                await delivery.begin(response.status, response.content_type)
+                await _relay(delivery, relay, response)
         except errors.PlatformError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.OUTCOME_UNKNOWN, str(error)
@@ -185,7 +192,7 @@
             raise
         await self._end_stream(call, delivery, relay)
 
-    def _call(
+    def _engine_call(
         self, order: work.WorkOrder, body: bytes
     ) -> engine_module.EngineCall:
         assert order.adapter is not None
@@ -199,7 +206,9 @@
             fencing=self._fence.token,
         )
 
-    def _headers(self, call: engine_module.EngineCall) -> dict[str, str]:
+    def _answer_headers(
+        self, call: engine_module.EngineCall
+    ) -> dict[str, str]:
         stall_s = self._stalls_s.get(call.run_id, 0.0)
         hint = hint_module.Hint(
             running=self._queue.running,
@@ -216,13 +225,14 @@
 
     @staticmethod
     def _check_adapter(
-        found: engine_module.EngineAnswer,
+        response: engine_module.EngineAnswer,
         call: engine_module.EngineCall,
     ) -> None:
-        # An engine whose slots were changed behind our back would answer
-        # from another adapter; the caller would see a fluent answer made
-        # for somebody else.  The engine names what it ran, so we refuse.
-        if found.adapter != call.adapter.engine_name:
+        # If another party changed the engine's slots, the engine could
+        # answer from another adapter, and the caller would receive a
+        # plausible answer from another customer's adapter.  The engine
+        # names the adapter that it ran, so such an answer is refused.
+        if response.adapter != call.adapter.engine_name:
             raise errors.RefusalError(
                 errors.ErrorKind.WRONG_ADAPTER,
                 'the backend server used another adapter',
@@ -244,10 +254,10 @@
             await self._cancel(call.run_id)
             raise
         if not relay.is_complete and not relay.is_failed:
-            cut = errors.RefusalError(
+            error = errors.RefusalError(
                 errors.ErrorKind.ANSWER_CUT, 'the backend server broke off'
             )
-            await delivery.write(answer.error_event(cut))
+            await delivery.write(answer.error_event(error))
         await delivery.end()
 
     async def _resume_once(
@@ -258,9 +268,11 @@
     ) -> None:
         relay.drop_partial_event()
         try:
-            async with self._engine.resume(call, relay.event_count) as found:
-                self._check_adapter(found, call)
-                await _relay(delivery, relay, found)
+            async with self._engine.resume(
+                call, relay.event_count
+            ) as response:
+                self._check_adapter(response, call)
+                await _relay(delivery, relay, response)
         except (errors.PlatformError, errors.RefusalError) as error:
             log.warning('resume failed', error=str(error))
 
@@ -268,7 +280,7 @@
         with contextlib.suppress(errors.PlatformError):
             await self._engine.cancel(run_id)
 
-    async def _watch(self) -> None:
+    async def _poll_reports(self) -> None:
         while True:
             try:
                 await self._read_report()
@@ -277,41 +289,41 @@
             await asyncio.sleep(_REPORT_INTERVAL_S)
 
     async def _read_report(self) -> None:
-        asked_at_s = self._clock.monotonic_s()
+        requested_at_s = self._clock.monotonic_s()
         report = await self._engine.report()
         if self._fence.apply_report(report):
             self._slots.clear_and_reload()
         self._slots.limit_slot_count(report.adapter_slots)
         self._slots.adopt(report.adapters)
         self._slots.release_adopted(
-            asked_at_s, lambda name: not report.running_on(name)
+            requested_at_s, lambda name: not report.running_on(name)
         )
-        self._attached.set()
+        self._report_received.set()
 
 
-def _unavailable(error: errors.PlatformError) -> errors.RefusalError:
+def _adapter_unavailable(error: errors.PlatformError) -> errors.RefusalError:
     return errors.RefusalError(
         errors.ErrorKind.ADAPTER_UNAVAILABLE, str(error)
     )
 
 
-async def _check_status(found: engine_module.EngineAnswer) -> None:
-    if found.status in _OK_STATUSES:
+async def _check_status(response: engine_module.EngineAnswer) -> None:
+    if response.status in _OK_STATUSES:
         return
-    detail = f'the backend server answered {found.status}'
-    if found.status in _REFUSED_STATUSES:
-        text = await _excerpt(found)
+    detail = f'the backend server answered {response.status}'
+    if response.status in _REFUSED_STATUSES:
+        text = await _excerpt(response)
         raise errors.RefusalError(
             errors.ErrorKind.BAD_REQUEST, f'{detail}: {text}'
         )
-    if found.status in _BUSY_STATUSES:
+    if response.status in _BUSY_STATUSES:
         raise errors.RefusalError(errors.ErrorKind.QUEUE_FULL, detail)
     raise errors.RefusalError(errors.ErrorKind.OUTCOME_UNKNOWN, detail)
 
 
-async def _excerpt(found: engine_module.EngineAnswer) -> str:
+async def _excerpt(response: engine_module.EngineAnswer) -> str:
     text = b''
-    async for chunk in found.chunks:
+    async for chunk in response.chunks:
         text += chunk
         if len(text) >= _MAX_EXCERPT_BYTES:
             break
@@ -321,10 +333,10 @@
 async def _relay(
     delivery: runs.Delivery,
     relay: event_stream.EventRelay,
-    found: engine_module.EngineAnswer,
+    response: engine_module.EngineAnswer,
 ) -> None:
     try:
-        async for chunk in found.chunks:
+        async for chunk in response.chunks:
             events = relay.feed(chunk)
             if events:
                 await delivery.write(events)
@@ -337,12 +349,17 @@
         log.warning('stream cut', error=repr(error))
 
 
-async def _whole(found: engine_module.EngineAnswer) -> runs.WholeAnswer:
-    # A whole answer is sent only once it is whole here: the caller gets
-    # either all of it or an error with a status, never a torn body.
+async def _read_answer(
+    response: engine_module.EngineAnswer,
+) -> runs.WholeAnswer:
+    # An answer without streaming is read completely before it is sent, so
+    # that the caller gets all of it or an error status, never a partial
+    # body.
     parts = bytearray()
-    async for chunk in found.chunks:
+    async for chunk in response.chunks:
         parts += chunk
         if len(parts) > MAX_WHOLE_ANSWER_BYTES:
             raise errors.PlatformError('engine: answer too large')
-    return runs.WholeAnswer(found.status, found.content_type, bytes(parts))
+    return runs.WholeAnswer(
+        response.status, response.content_type, bytes(parts)
+    )
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,3 +1,5 @@
+"""Calls to a model engine over HTTP."""
+
 import asyncio
 import contextlib
 
@@ -16,7 +18,7 @@
 
 @contextlib.asynccontextmanager
 async def call_engine(complete, urgency=contract.Urgency.STANDARD):
-    """Call an engine that answers by `complete`; give its answer."""
+    """Call an engine whose handler is `complete`; yield its answer."""
     async with contextlib.AsyncExitStack() as held:
         server = http_server.HttpServer(1 << 20)
         server.route('POST', '/v1/completions', complete)
@@ -52,15 +54,16 @@
         assert seen == [urgency.value]
 
 
-class TestSilence:
+class TestIdleTimeout:
     @pytest.mark.parametrize('event_count', [0, 1])
     async def test_ends_the_run(self, event_count, monkeypatch):
-        """A request waits for ever, and holds its place at the engine.
+        """A request waits for ever and occupies the engine.
 
-        The engine takes the request, sends nothing or a first event, and
-        hangs; its connection stays open, so nothing else ends the wait.
+        The engine accepts the request, sends nothing or one event, and
+        hangs.  The connection stays open, so only the timeout ends the
+        wait.
         """
-        monkeypatch.setattr(engine, '_SILENCE_TIMEOUT_S', 0.05)
+        monkeypatch.setattr(engine, '_IDLE_TIMEOUT_S', 0.05)
         event = b'data: 1\n\n'
 
         async def complete(request):
@@ -70,10 +73,10 @@
                 await response.write(event)
             await asyncio.Event().wait()
 
-        got = []
+        received = []
         async with asyncio.timeout(WAIT_S):
             with pytest.raises(errors.PlatformError):
                 async with call_engine(complete) as answer:
                     async for chunk in answer.chunks:
-                        got.append(chunk)
-        assert got == [event] * event_count
+                        received.append(chunk)
+        assert received == [event] * event_count
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -1,4 +1,4 @@
-"""Fencing numbers over restarts, lagging reports and clocks set back."""
+"""Fencing tokens across restarts, lagging reports and clock steps."""
 
 import pytest
 
@@ -18,8 +18,8 @@
     )
 
 
-class TestNumber:
-    def test_is_above_the_engine_s_last_with_the_clock_set_back(self):
+class TestToken:
+    def test_exceeds_the_reported_token_with_the_clock_set_back(self):
         old = fence.Fence(clocks.ManualClock(1000.0))
         old.apply_report(report('a'))
         successor = fence.Fence(clocks.ManualClock(10.0))
@@ -27,12 +27,12 @@
         assert successor.token > old.token
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.ENGINE_EMPTY, Step.ANY)
-    def test_is_above_an_earlier_sidecar_at_an_engine_that_forgot(self):
-        """The orders of a replaced sidecar are taken after its successor's.
+    def test_exceeds_an_earlier_sidecar_after_an_engine_restart(self):
+        """Orders of a replaced sidecar are accepted after its successor's.
 
-        It is frozen; its successor meets an engine that restarted empty
-        and reports no number.  The cause would be numbers that follow
-        from the engine's report alone.
+        The old sidecar is frozen.  Its successor finds an engine that
+        restarted empty and reports no token, so a token that depends on
+        the report alone would be too low.
         """
         old = fence.Fence(clocks.ManualClock(1000.0))
         old.apply_report(report('a', 7))
@@ -40,7 +40,7 @@
         successor.apply_report(report('b'))
         assert successor.token > old.token
 
-    def test_never_falls_when_the_engine_restarts_empty(self):
+    def test_never_decreases_when_the_engine_restarts_empty(self):
         clock = clocks.ManualClock(1000.0)
         found = fence.Fence(clock)
         found.apply_report(report('a'))
@@ -50,11 +50,11 @@
         assert found.token >= before
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.ENGINE_LATE, Step.ANY)
-    def test_rises_if_the_first_report_lagged(self):
-        """A new sidecar is fenced off for good.
+    def test_is_raised_if_the_first_report_lagged(self):
+        """A new sidecar is fenced off permanently.
 
-        The engine's report lags behind the last order of the sidecar
-        before it, whose clock was ahead.
+        The engine's report lags behind the last order of the earlier
+        sidecar, whose clock was ahead.
         """
         found = fence.Fence(clocks.ManualClock(1000.0))
         found.apply_report(report('a', 5))
@@ -62,14 +62,15 @@
         assert found.token > 2_000_000
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.FROZEN, Step.ANY)
-    def test_does_not_rise_over_a_successor(self):
+    def test_is_not_raised_above_a_successor(self):
         """Two sidecars fence each other off in turn.
 
-        One was frozen, and wakes to a higher number at its engine.
+        One was frozen and resumes when its engine has accepted a higher
+        token.
         """
         found = fence.Fence(clocks.ManualClock(1000.0))
         found.apply_report(report('a'))
         found.mark_accepted()
-        number = found.token
-        found.apply_report(report('a', number + 1))
-        assert found.token == number
+        token = found.token
+        found.apply_report(report('a', token + 1))
+        assert found.token == token
