--- a/lacewingpitch/store_pacing.py
+++ b/lacewingpitch/store_pacing.py
@@ -1,10 +1,12 @@
-"""Soft permits for loads, so that the weight store is not overrun.
-
-One sidecar, found by rendezvous hash, keeps the permits in memory.  The
-others ask it by control message before a load.  Permits are soft: a
-sidecar that gets no answer paces itself at its equal share.  What is
-lost with the keeper, or given twice by two of them, costs speed; the
-store refuses or slows a load too many, and no request is harmed.
+"""Limits the rate of adapter loads, to protect the weight store.
+
+One sidecar, chosen by rendezvous hash, is the issuer: it grants permits
+for loads and keeps them in memory.  The others request a permit from it
+by control message before each load.  Permits are advisory: a sidecar
+that gets no answer limits itself to an equal share of the store's rate.
+If permits are lost with the issuer, or granted twice by two issuers,
+loads become slower.  The store refuses or slows down excess loads, and
+no request fails because of it.
 """
 
 import asyncio
@@ -28,27 +30,36 @@
 
 PERMIT_LEASE_S = 10.0
 RETRY_INTERVAL_S = 2.0
-_ASK_AGAIN_RATIO = 0.8
-_LATE_S = 1.0
-_LAPSE_S = 4.0
-_RANKING_S = 1.0
-_GROWTH_RATIO = 1.25
-_HURRY_RATIO = 2.0
-_RENEW_S = 3.0
-_ASK_TIMEOUT_S = 0.5
-_KEEPER_PAUSE_S = 5.0
+# A request is retried after this share of its expected wait.
+_RETRY_RATIO = 0.8
+# A request is passed over while its retry is overdue by more than this.
+_RETRY_GRACE_S = 1.0
+# A request whose retry is overdue by this is dropped.
+_REQUEST_EXPIRY_S = 4.0
+# The ranking of the queue is rebuilt at this age, or after this growth.
+_MAX_RANKING_AGE_S = 1.0
+_RERANK_GROWTH_RATIO = 1.25
+# A request is sent again once its weight has grown by this factor.
+_WEIGHT_UPDATE_RATIO = 2.0
+_RENEW_INTERVAL_S = 3.0
+_REQUEST_TIMEOUT_S = 0.5
+# How long an unreachable issuer is not asked again.
+_ISSUER_BACKOFF_S = 5.0
+# The cost of a request doubles after this wait and grows further.
 _AGING_S = 5.0
 _MAX_WAITING = 4096
-_MAX_LOADS_PER_KEEPER_PER_S = 10.0
+_MAX_LOADS_PER_ISSUER_PER_S = 10.0
 
 
 class PermitRequest(link.Message, frozen=True):
-    """Asks for a permit, or renews one, for one load.
+    """Requests a permit for one load, or renews it.
 
     Parameters
     ----------
+    asker
+        Name of the sidecar that requests the permit.
     weight
-        What waiting costs the asker; the highest goes first.
+        Cost of waiting; the request with the highest cost goes first.
     """
 
     permit_id: str
@@ -57,12 +68,12 @@
 
 
 class PermitReply(link.Message, frozen=True):
-    """Whether the permit is given; if not, a grant follows.
+    """Whether the permit is granted; if not, a grant may follow.
 
     Parameters
     ----------
     ask_again_s
-        When to ask again at the latest, by the place in the queue.
+        After how long to retry at the latest, by the queue position.
     """
 
     granted: bool
@@ -70,13 +81,13 @@
 
 
 class PermitGrant(link.Message, frozen=True):
-    """Tells an asker that its permit is now given."""
+    """Informs a requester that its permit is granted."""
 
     permit_id: str
 
 
 class PermitReturn(link.Message, frozen=True):
-    """Gives a permit back, or takes a request for one back."""
+    """Releases a permit, or cancels a request for one."""
 
     permit_id: str
 
@@ -86,41 +97,45 @@
 
 
 class PermitLink(Protocol):
-    """Way to the sidecar that keeps the permits."""
+    """Sends messages to the sidecar that issues the permits."""
 
     async def ask(self, request: PermitRequest) -> PermitReply:
-        """Ask for a permit or renew one."""
+        """Request or renew a permit."""
         ...
 
     async def release(self, message: PermitReturn) -> None:
-        """Give a permit back."""
+        """Release a permit."""
         ...
 
     def sidecar_count(self) -> int:
-        """Return how many sidecars share the store."""
+        """Return how many sidecars load from the store."""
         ...
 
 
 @dataclasses.dataclass(slots=True)
-class _Asking:
-    asker: str
+class _PendingRequest:
+    requester: str
     weight: float
     since_s: float
     due_s: float
 
     def cost(self, now_s: float) -> float:
-        """Return what waiting costs; the highest goes first."""
+        """Return the cost of waiting, which grows with time."""
         waited_s = now_s - self.since_s
         return self.weight * (1.0 + waited_s / _AGING_S)
 
 
 class PermitIssuer:
-    """The permits of the store, at the sidecar that keeps them.
+    """Grants permits for loads from the store.
+
+    It limits both the rate of loads, by a token bucket, and the number
+    of concurrent ones.
 
     Parameters
     ----------
     notify
-        Tells an asker of its grant.  It may fail: the asker asks again.
+        Sends a grant to a requester.  It may fail, because the requester
+        retries.
     """
 
     def __init__(
@@ -133,19 +148,19 @@
         self._settings = settings
         self._notify = notify
         self._held_until_s: dict[str, float] = {}
-        self._waiting: dict[str, _Asking] = {}
-        self._lapses: list[tuple[float, str]] = []
-        self._costs: list[float] = []
-        self._places: dict[str, int] = {}
+        self._waiting: dict[str, _PendingRequest] = {}
+        self._expirations: list[tuple[float, str]] = []
+        self._ranked_costs: list[float] = []
+        self._positions: dict[str, int] = {}
         self._ranked_at_s = -math.inf
         self._tokens = float(settings.loads_at_once)
-        self._counted_at_s = clock.monotonic_s()
+        self._refilled_at_s = clock.monotonic_s()
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def held_count(self) -> int:
-        """Return how many permits are given and not lapsed."""
-        self._drop_lapsed()
+        """Return how many permits are granted and not expired."""
+        self._drop_expired()
         return len(self._held_until_s)
 
     @property
@@ -154,154 +169,164 @@
         return len(self._waiting)
 
     def ask(self, request: PermitRequest) -> PermitReply:
-        """Give, renew or queue a permit; idempotent."""
+        """Grant or renew a permit, or queue the request; idempotent."""
         now_s = self._clock.monotonic_s()
         permit_id = request.permit_id
         if permit_id in self._held_until_s:
             self._held_until_s[permit_id] = now_s + PERMIT_LEASE_S
             return PermitReply(granted=True)
         if permit_id not in self._waiting:
-            self._queue(request, now_s)
-        asking = self._waiting.get(permit_id)
-        if asking is not None:
-            asking.weight = request.weight
-            asking.due_s = now_s + RETRY_INTERVAL_S
-        self._serve(asked_by=permit_id)
+            self._enqueue(request, now_s)
+        pending = self._waiting.get(permit_id)
+        if pending is not None:
+            pending.weight = request.weight
+            pending.due_s = now_s + RETRY_INTERVAL_S
+        self._grant_permits(requested_by=permit_id)
         if permit_id in self._held_until_s:
             return PermitReply(granted=True)
-        again_s = RETRY_INTERVAL_S
-        if asking is not None:
-            again_s = self._ask_again_s(permit_id, now_s)
-            asking.due_s = now_s + again_s
-        return PermitReply(granted=False, ask_again_s=again_s)
+        retry_s = RETRY_INTERVAL_S
+        if pending is not None:
+            retry_s = self._retry_in_s(permit_id, now_s)
+            pending.due_s = now_s + retry_s
+        return PermitReply(granted=False, ask_again_s=retry_s)
 
     def release(self, permit_id: str) -> None:
-        """Take back a permit, or the wish for one; idempotent."""
+        """Release a permit, or cancel a request for one; idempotent."""
         self._waiting.pop(permit_id, None)
         self._held_until_s.pop(permit_id, None)
-        self._serve()
+        self._grant_permits()
 
     def close(self) -> None:
-        """Give no more permits."""
+        """Stop granting permits."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _queue(self, request: PermitRequest, now_s: float) -> None:
+    def _enqueue(self, request: PermitRequest, now_s: float) -> None:
         if len(self._waiting) >= _MAX_WAITING:
             return
         due_s = now_s + RETRY_INTERVAL_S
-        self._waiting[request.permit_id] = _Asking(
+        self._waiting[request.permit_id] = _PendingRequest(
             request.asker, request.weight, now_s, due_s
         )
-        entry = (due_s + _LAPSE_S, request.permit_id)
-        heapq.heappush(self._lapses, entry)
-
-    def _serve(self, asked_by: str = '') -> None:
-        self._drop_lapsed()
-        self._count_tokens()
-        while self._has_room:
-            permit_id = self._first()
+        expiration = (due_s + _REQUEST_EXPIRY_S, request.permit_id)
+        heapq.heappush(self._expirations, expiration)
+
+    def _grant_permits(self, requested_by: str = '') -> None:
+        self._drop_expired()
+        self._refill_tokens()
+        while self._can_grant:
+            permit_id = self._next_request()
             if permit_id is None:
-                # Those that are late come back by asking again.
+                # Overdue requests are served when they are retried.
                 self._stop_timer()
                 return
-            asking = self._waiting.pop(permit_id)
+            pending = self._waiting.pop(permit_id)
             self._tokens -= 1.0
             self._held_until_s[permit_id] = (
                 self._clock.monotonic_s() + PERMIT_LEASE_S
             )
-            if permit_id != asked_by:
-                self._notify(asking.asker, PermitGrant(permit_id=permit_id))
+            if permit_id != requested_by:
+                self._notify(
+                    pending.requester, PermitGrant(permit_id=permit_id)
+                )
         self._set_timer()
 
     @property
-    def _has_room(self) -> bool:
+    def _can_grant(self) -> bool:
         is_full = len(self._held_until_s) >= self._settings.loads_at_once
         return not is_full and self._tokens >= 1.0
 
-    def _first(self) -> str | None:
-        # Costs grow at different speeds, so no heap stays in order; all
-        # are looked at once for each load, not for each message.
+    def _next_request(self) -> str | None:
+        # Costs grow at different rates, so no heap would stay ordered.
+        # All requests are compared, once per load and not per message.
         now_s = self._clock.monotonic_s()
-        # One that has not asked when it was to ask may be dead, and a
-        # permit given to it would be idle to the end of its lease.
+        # A requester whose retry is overdue may be dead, and its permit
+        # would stay unused until the lease ends.
         return max(
             (
                 permit_id
-                for permit_id, asking in self._waiting.items()
-                if now_s <= asking.due_s + _LATE_S
+                for permit_id, pending in self._waiting.items()
+                if now_s <= pending.due_s + _RETRY_GRACE_S
             ),
             key=lambda permit_id: self._waiting[permit_id].cost(now_s),
             default=None,
         )
 
-    def _ask_again_s(self, permit_id: str, now_s: float) -> float:
-        # Whoever is far back has nothing to win by asking often, and all
-        # of them together would fill the keeper.  It asks again before
-        # its turn can come, for grants may be lost and askers die.
-        before = self._place(permit_id, now_s)
-        turn_s = before / self._settings.loads_per_s
-        return max(RETRY_INTERVAL_S, turn_s * _ASK_AGAIN_RATIO)
-
-    def _place(self, permit_id: str, now_s: float) -> int:
-        """Return how many go before, by a ranking made of late."""
-        is_old = now_s - self._ranked_at_s > _RANKING_S
-        if is_old or len(self._waiting) > _GROWTH_RATIO * len(self._places):
+    def _retry_in_s(self, permit_id: str, now_s: float) -> float:
+        # Requests far back in the queue gain nothing by frequent retries,
+        # which would overload the issuer.  Each retries before its turn
+        # can come, because grants may be lost and requesters may die.
+        ahead = self._position(permit_id, now_s)
+        turn_s = ahead / self._settings.loads_per_s
+        return max(RETRY_INTERVAL_S, turn_s * _RETRY_RATIO)
+
+    def _position(self, permit_id: str, now_s: float) -> int:
+        """Return how many requests go first, by a recent ranking."""
+        is_old = now_s - self._ranked_at_s > _MAX_RANKING_AGE_S
+        if is_old or len(self._waiting) > _RERANK_GROWTH_RATIO * len(
+            self._positions
+        ):
             self._rank(now_s)
-        place = self._places.get(permit_id)
-        if place is None:
+        position = self._positions.get(permit_id)
+        if position is None:
             cost = self._waiting[permit_id].cost(self._ranked_at_s)
-            place = bisect.bisect_right(self._costs, -cost)
-        return place
+            position = bisect.bisect_right(self._ranked_costs, -cost)
+        return position
 
     def _rank(self, now_s: float) -> None:
         self._ranked_at_s = now_s
         ranking = sorted(
-            (-asking.cost(now_s), place, permit_id)
-            for place, (permit_id, asking) in enumerate(self._waiting.items())
+            (-pending.cost(now_s), position, permit_id)
+            for position, (permit_id, pending) in enumerate(
+                self._waiting.items()
+            )
         )
-        self._costs = [item[0] for item in ranking]
-        self._places = {item[2]: place for place, item in enumerate(ranking)}
+        self._ranked_costs = [item[0] for item in ranking]
+        self._positions = {
+            item[2]: position for position, item in enumerate(ranking)
+        }
 
-    def _count_tokens(self) -> None:
+    def _refill_tokens(self) -> None:
         now_s = self._clock.monotonic_s()
         self._tokens = min(
             float(self._settings.loads_at_once),
             self._tokens
-            + (now_s - self._counted_at_s) * self._settings.loads_per_s,
+            + (now_s - self._refilled_at_s) * self._settings.loads_per_s,
         )
-        self._counted_at_s = now_s
+        self._refilled_at_s = now_s
 
-    def _drop_lapsed(self) -> None:
-        # An asker that died or was cut off never gives its permit back;
-        # without a lease the store would stand idle for good.
+    def _drop_expired(self) -> None:
+        # A requester that died or was cut off never releases its permit.
+        # Without a lease, the permit would be lost for ever.
         now_s = self._clock.monotonic_s()
         for permit_id, until_s in list(self._held_until_s.items()):
             if until_s <= now_s:
                 del self._held_until_s[permit_id]
-        while self._lapses and self._lapses[0][0] <= now_s:
-            _, permit_id = heapq.heappop(self._lapses)
+        while self._expirations and self._expirations[0][0] <= now_s:
+            _, permit_id = heapq.heappop(self._expirations)
             found = self._waiting.get(permit_id)
             if found is None:
                 continue
-            if found.due_s + _LAPSE_S <= now_s:
+            if found.due_s + _REQUEST_EXPIRY_S <= now_s:
                 del self._waiting[permit_id]
             else:
-                entry = (found.due_s + _LAPSE_S, permit_id)
-                heapq.heappush(self._lapses, entry)
+                expiration = (found.due_s + _REQUEST_EXPIRY_S, permit_id)
+                heapq.heappush(self._expirations, expiration)
 
     def _set_timer(self) -> None:
         self._stop_timer()
         if self._waiting:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._next_chance_s(), self._serve)
+            self._timer = loop.call_later(
+                self._next_grant_in_s(), self._grant_permits
+            )
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _next_chance_s(self) -> float:
+    def _next_grant_in_s(self) -> float:
         if len(self._held_until_s) >= self._settings.loads_at_once:
             first_s = min(self._held_until_s.values())
             return max(first_s - self._clock.monotonic_s(), 0.0) + 1e-3
@@ -309,101 +334,103 @@
 
 
 class StorePacer:
-    """Gets a permit for each load of this sidecar."""
+    """Obtains a permit for each load of this sidecar."""
 
     def __init__(
         self,
         clock: clock_module.Clock,
         settings: settings_module.StoreSettings,
         permits: PermitLink,
-        asker: str,
+        requester: str,
     ) -> None:
         self._clock = clock
         self._settings = settings
         self._permits = permits
-        self._asker = asker
+        self._requester = requester
         self._prefix = uuid.uuid4().hex[:8]
         self._numbers = itertools.count(1)
-        self._granted: dict[str, asyncio.Event] = {}
-        self._alone_until_s = 0.0
-        self._next_alone_s = 0.0
-        self._returning: set[asyncio.Task[None]] = set()
+        self._grant_events: dict[str, asyncio.Event] = {}
+        self._fallback_until_s = 0.0
+        self._next_fallback_load_s = 0.0
+        self._release_tasks: set[asyncio.Task[None]] = set()
 
     @contextlib.asynccontextmanager
     async def permit(self, weight: Callable[[], float]) -> AsyncIterator[None]:
-        """Wait for a permit and keep it for the length of a load."""
-        permit_id = f'{self._asker}/{self._prefix}/{next(self._numbers)}'
-        self._granted[permit_id] = asyncio.Event()
+        """Wait for a permit and hold it while the context is open."""
+        permit_id = f'{self._requester}/{self._prefix}/{next(self._numbers)}'
+        self._grant_events[permit_id] = asyncio.Event()
         try:
-            await self._obtain(permit_id, weight)
-            renewing = asyncio.create_task(self._renew(permit_id, weight))
+            await self._acquire(permit_id, weight)
+            renewal = asyncio.create_task(self._renew(permit_id, weight))
             try:
                 yield
             finally:
-                renewing.cancel()
+                renewal.cancel()
         finally:
-            del self._granted[permit_id]
-            self._give_back(permit_id)
+            del self._grant_events[permit_id]
+            self._release(permit_id)
 
     def apply_grant(self, grant: PermitGrant) -> PermitAck:
-        """Take a grant; one that comes late is given back again."""
-        event = self._granted.get(grant.permit_id)
+        """Apply a grant; release the permit if it is no longer needed."""
+        event = self._grant_events.get(grant.permit_id)
         if event is None:
-            self._give_back(grant.permit_id)
+            self._release(grant.permit_id)
         else:
             event.set()
         return PermitAck()
 
-    async def _obtain(
+    async def _acquire(
         self, permit_id: str, weight: Callable[[], float]
     ) -> None:
-        event = self._granted[permit_id]
+        event = self._grant_events[permit_id]
         while not event.is_set():
-            asked_weight = weight()
-            reply = await self._ask(permit_id, asked_weight)
+            sent_weight = weight()
+            reply = await self._ask(permit_id, sent_weight)
             if reply.granted:
                 return
-            await self._wait(event, reply.ask_again_s, weight, asked_weight)
+            await self._wait(event, reply.ask_again_s, weight, sent_weight)
 
     async def _wait(
         self,
         event: asyncio.Event,
-        longest_s: float,
+        max_wait_s: float,
         weight: Callable[[], float],
-        asked_weight: float,
+        sent_weight: float,
     ) -> None:
-        """Wait for a grant, or until it is time to ask again."""
-        until_s = self._clock.monotonic_s() + longest_s
+        """Wait for a grant, or until it is time to retry."""
+        until_s = self._clock.monotonic_s() + max_wait_s
         while not event.is_set():
             left_s = until_s - self._clock.monotonic_s()
-            # The keeper goes by the weight that it was told; a load that
-            # many have come to wait for must not wait as one of few.
-            if left_s <= 0 or weight() > _HURRY_RATIO * asked_weight:
+            # The issuer only knows the weight that was sent.  If many
+            # requests have joined since, the new weight must be sent.
+            if left_s <= 0 or weight() > _WEIGHT_UPDATE_RATIO * sent_weight:
                 return
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(min(RETRY_INTERVAL_S, left_s)):
                     await event.wait()
 
     async def _ask(self, permit_id: str, weight: float) -> PermitReply:
-        if self._clock.monotonic_s() < self._alone_until_s:
-            await self._wait_alone()
+        if self._clock.monotonic_s() < self._fallback_until_s:
+            await self._wait_for_fallback_share()
             return PermitReply(granted=True)
         request = PermitRequest(
-            permit_id=permit_id, asker=self._asker, weight=weight
+            permit_id=permit_id, asker=self._requester, weight=weight
         )
         try:
             return await self._permits.ask(request)
         except errors.LinkError:
-            # The keeper is gone, frozen or cut off.  Loads go on at the
-            # share that is safe if every sidecar is as alone as this.
-            self._alone_until_s = self._clock.monotonic_s() + _KEEPER_PAUSE_S
-            await self._wait_alone()
+            # The issuer is gone, frozen or cut off.  Loads continue at a
+            # rate that is safe even if no sidecar reaches the issuer.
+            self._fallback_until_s = (
+                self._clock.monotonic_s() + _ISSUER_BACKOFF_S
+            )
+            await self._wait_for_fallback_share()
             return PermitReply(granted=True)
 
-    async def _wait_alone(self) -> None:
+    async def _wait_for_fallback_share(self) -> None:
         now_s = self._clock.monotonic_s()
-        start_s = max(now_s, self._next_alone_s)
-        self._next_alone_s = start_s + (
+        start_s = max(now_s, self._next_fallback_load_s)
+        self._next_fallback_load_s = start_s + (
             self._permits.sidecar_count() / self._settings.loads_per_s
         )
         await asyncio.sleep(start_s - now_s)
@@ -412,32 +439,32 @@
         self, permit_id: str, weight: Callable[[], float]
     ) -> None:
         while True:
-            await asyncio.sleep(_RENEW_S)
+            await asyncio.sleep(_RENEW_INTERVAL_S)
             with contextlib.suppress(errors.LinkError):
                 await self._permits.ask(
                     PermitRequest(
                         permit_id=permit_id,
-                        asker=self._asker,
+                        asker=self._requester,
                         weight=weight(),
                     )
                 )
 
-    def _give_back(self, permit_id: str) -> None:
-        task = asyncio.create_task(self._send_back(permit_id))
-        self._returning.add(task)
-        task.add_done_callback(self._returning.discard)
+    def _release(self, permit_id: str) -> None:
+        task = asyncio.create_task(self._send_release(permit_id))
+        self._release_tasks.add(task)
+        task.add_done_callback(self._release_tasks.discard)
 
-    async def _send_back(self, permit_id: str) -> None:
+    async def _send_release(self, permit_id: str) -> None:
         with contextlib.suppress(errors.LinkError):
             await self._permits.release(PermitReturn(permit_id=permit_id))
 
 
 class StorePacing:
-    """Both ends of pacing at one sidecar: its loads, and the issuer.
+    """Limits the loads of one sidecar, and issues permits if chosen.
 
-    Every sidecar has a issuer; that of one of them is in use.  A store
-    that bears more than a sidecar can hand out is split over several
-    keepers, each with its share.
+    Every sidecar has an issuer, but only the one that is chosen by hash
+    receives requests.  If the store allows more loads than one issuer
+    can handle, several issuers each get a share of the rate.
     """
 
     def __init__(
@@ -446,46 +473,46 @@
         settings: settings_module.StoreSettings,
     ) -> None:
         self._node = node
-        self._keeper_count = _keeper_count(settings)
+        self._issuer_count = _issuer_count(settings)
         share = settings_module.StoreSettings(
-            loads_per_s=settings.loads_per_s / self._keeper_count,
-            loads_at_once=max(1, settings.loads_at_once // self._keeper_count),
+            loads_per_s=settings.loads_per_s / self._issuer_count,
+            loads_at_once=max(1, settings.loads_at_once // self._issuer_count),
         )
         self.issuer = PermitIssuer(node.clock, share, self._notify)
         self.pacer = StorePacer(
             node.clock, settings, self, node.settings.instance
         )
-        self._sending: set[asyncio.Task[None]] = set()
-        node.control.handle(PermitRequest, self._take_request)
-        node.control.handle(PermitGrant, self._take_grant)
-        node.control.handle(PermitReturn, self._take_return)
+        self._send_tasks: set[asyncio.Task[None]] = set()
+        node.control.handle(PermitRequest, self._handle_request)
+        node.control.handle(PermitGrant, self._handle_grant)
+        node.control.handle(PermitReturn, self._handle_return)
 
     async def ask(self, request: PermitRequest) -> PermitReply:
-        """Ask the keeper for a permit.
+        """Request a permit from the issuer.
 
         Raises
         ------
         LinkError
-            It does not answer.
+            The issuer does not answer.
         """
-        return await self._peer_of(self._keeper()).ask(
-            request, PermitReply, _ASK_TIMEOUT_S
+        return await self._peer_of(self._issuer_instance()).ask(
+            request, PermitReply, _REQUEST_TIMEOUT_S
         )
 
     async def release(self, message: PermitReturn) -> None:
-        """Give a permit back to the keeper.
+        """Release a permit at the issuer.
 
         Raises
         ------
         LinkError
-            It does not answer.
+            The issuer does not answer.
         """
-        await self._peer_of(self._keeper()).ask(
-            message, PermitAck, _ASK_TIMEOUT_S
+        await self._peer_of(self._issuer_instance()).ask(
+            message, PermitAck, _REQUEST_TIMEOUT_S
         )
 
     def sidecar_count(self) -> int:
-        """Return how many sidecars share the store."""
+        """Return how many sidecars load from the store, at least 1."""
         return max(1, len(self._sidecars()))
 
     def _sidecars(self) -> list[live_list.Instance]:
@@ -496,9 +523,9 @@
             and instance.region == self._node.settings.region
         ]
 
-    def _keeper(self) -> live_list.Instance:
+    def _issuer_instance(self) -> live_list.Instance:
         share = placement.hash_bucket(
-            self._node.settings.instance, self._keeper_count
+            self._node.settings.instance, self._issuer_count
         )
         ranked = placement.rank_by_hash(f'store/{share}', self._sidecars())
         if not ranked:
@@ -508,30 +535,32 @@
     def _peer_of(self, instance: live_list.Instance) -> link.Peer:
         return self._node.peers.peer(instance.ip, instance.control_port)
 
-    async def _take_request(self, message: PermitRequest) -> PermitReply:
+    async def _handle_request(self, message: PermitRequest) -> PermitReply:
         return self.issuer.ask(message)
 
-    async def _take_grant(self, message: PermitGrant) -> PermitAck:
+    async def _handle_grant(self, message: PermitGrant) -> PermitAck:
         return self.pacer.apply_grant(message)
 
-    async def _take_return(self, message: PermitReturn) -> PermitAck:
+    async def _handle_return(self, message: PermitReturn) -> PermitAck:
         self.issuer.release(message.permit_id)
         return PermitAck()
 
-    def _notify(self, asker: str, grant: PermitGrant) -> None:
+    def _notify(self, requester: str, grant: PermitGrant) -> None:
         for instance in self._sidecars():
-            if instance.name == asker:
+            if instance.name == requester:
                 task = asyncio.create_task(self._send_grant(instance, grant))
-                self._sending.add(task)
-                task.add_done_callback(self._sending.discard)
+                self._send_tasks.add(task)
+                task.add_done_callback(self._send_tasks.discard)
 
     async def _send_grant(
         self, instance: live_list.Instance, grant: PermitGrant
     ) -> None:
         with contextlib.suppress(errors.LinkError):
-            await self._peer_of(instance).ask(grant, PermitAck, _ASK_TIMEOUT_S)
+            await self._peer_of(instance).ask(
+                grant, PermitAck, _REQUEST_TIMEOUT_S
+            )
 
 
-def _keeper_count(settings: settings_module.StoreSettings) -> int:
-    wanted = settings.loads_per_s // _MAX_LOADS_PER_KEEPER_PER_S + 1
+def _issuer_count(settings: settings_module.StoreSettings) -> int:
+    wanted = settings.loads_per_s // _MAX_LOADS_PER_ISSUER_PER_S + 1
     return int(min(wanted, settings.loads_at_once))
--- a/tests/test_store_pacing.py
+++ b/tests/test_store_pacing.py
@@ -1,4 +1,4 @@
-"""Soft permits for loads."""
+"""Permits that limit the loads from the store."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 
 class DirectLink:
-    """A issuer in this process that can be cut off or go deaf."""
+    """An issuer in this process that can be cut off or lose messages."""
 
     def __init__(self, store=HANEUL, sidecar_count=4):
         self.clock = virtual_time.LoopClock()
@@ -36,7 +36,7 @@
         self.loses_grants = False
         self.loses_returns = False
         self.count = sidecar_count
-        self.asks_count = 0
+        self.request_count = 0
         self.new_issuer()
 
     def new_issuer(self):
@@ -50,13 +50,13 @@
         )
         return self.pacers[name]
 
-    def _notify(self, asker, grant):
+    def _notify(self, requester, grant):
         if not self.loses_grants:
-            self.pacers[asker].apply_grant(grant)
+            self.pacers[requester].apply_grant(grant)
 
     async def ask(self, request):
         await asyncio.sleep(0.001)
-        self.asks_count += 1
+        self.request_count += 1
         if self.is_cut:
             raise errors.LinkError('cut')
         return self.issuer.ask(request)
@@ -71,7 +71,7 @@
 
 
 class Loads:
-    """Counts what loads at once and when each load began."""
+    """Counts concurrent loads and records when each one started."""
 
     def __init__(self, load_s=0.5):
         self.load_s = load_s
@@ -97,7 +97,7 @@
 
 class TestRate:
     @pytest.mark.parametrize('store', [HANEUL, ASSOCIATION])
-    def test_keeps_rate_and_count_of_the_store(self, store):
+    def test_keeps_to_the_rate_and_concurrency_of_the_store(self, store):
         async def main():
             loads = Loads(store.loads_at_once / store.loads_per_s)
             await load_all(DirectLink(store), loads, 12)
@@ -108,7 +108,7 @@
         assert took_s >= (12 - store.loads_at_once) / store.loads_per_s
         assert took_s <= 1.1 * 12 / store.loads_per_s + 0.1
 
-    def test_slow_store_gets_no_more_at_once(self):
+    def test_slow_store_gets_no_more_concurrent_loads(self):
         async def main():
             loads = Loads(load_s=4.0)
             await load_all(DirectLink(), loads, 6)
@@ -116,7 +116,7 @@
 
         assert virtual_time.run(main()).most == 1
 
-    def test_costliest_wait_goes_first(self):
+    def test_costliest_request_goes_first(self):
         async def main():
             link, loads, order = DirectLink(), Loads(), []
 
@@ -134,7 +134,7 @@
 
         assert virtual_time.run(main())[0] == ['first', 'heavy', 'light']
 
-    def test_light_wait_is_not_passed_over_for_ever(self):
+    def test_low_weight_is_not_starved(self):
         async def main():
             link, loads = DirectLink(), Loads()
             done_s = []
@@ -155,13 +155,13 @@
         assert virtual_time.run(main()) < 40.0
 
 
-class TestAskingAgain:
+class TestRetries:
     @pytest.mark.parametrize('count', [64, 256])
-    def test_takes_few_messages_however_many_wait(self, count):
-        """The keeper of permits does nothing but answer.
+    def test_few_messages_for_any_queue_length(self, count):
+        """The issuer is overloaded by retries.
 
-        Hundreds of loads wait after a zone was lost.  The cause would be
-        that each asks as often as the one whose turn is next.
+        Hundreds of loads wait after the loss of a zone.  This happens if
+        each request is retried as often as the first one in the queue.
         """
 
         async def main():
@@ -172,15 +172,16 @@
         link, loads, took_s = virtual_time.run(main())
         assert len(loads.starts_s) == count
         assert took_s <= 1.1 * count / HANEUL.loads_per_s
-        assert link.asks_count <= 6 * count
+        assert link.request_count <= 6 * count
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.KILLED, Step.LOADING)
-    @pytest.mark.parametrize(('dead_every', 'leases'), [(3, 1), (10, 0)])
-    def test_those_that_died_waiting_get_no_permit(self, dead_every, leases):
-        """Loads stand still for minutes after a zone was lost.
+    @pytest.mark.parametrize(('dead_interval', 'leases'), [(3, 1), (10, 0)])
+    def test_dead_requesters_get_no_permit(self, dead_interval, leases):
+        """Loads stop for minutes after the loss of a zone.
 
-        Many wait, some of them die, and their turn is far away.  The
-        cause would be permits for the dead, each idle to its lease's end.
+        Many requests wait, and some requesters die long before their
+        turn.  This happens if dead requesters are granted permits, which
+        stay unused until their leases end.
         """
 
         async def main():
@@ -190,27 +191,27 @@
                 tasks.append(asyncio.create_task(loads.run(pacer)))
             await asyncio.sleep(1.5)
             for number, task in enumerate(tasks):
-                if number >= 20 and number % dead_every == 0:
-                    # Dead, so that it neither gives back nor answers.
+                if number >= 20 and number % dead_interval == 0:
+                    # A dead sidecar neither releases nor answers.
                     pacer = link.pacers[f'sidecar-{number}']
-                    pacer.apply_grant = pacer._give_back = lambda message: None
+                    pacer.apply_grant = pacer._release = lambda message: None
                     task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             return loads, asyncio.get_running_loop().time()
 
         loads, took_s = virtual_time.run(main())
         in_turn_s = len(loads.starts_s) / HANEUL.loads_per_s
-        # The queue moves up as the dead are dropped, so one of many may
-        # have its turn before it was to ask again.
+        # The queue advances as dead requesters are dropped, so one of
+        # them may be granted a permit before its retry is overdue.
         lost_s = leases * store_pacing.PERMIT_LEASE_S
         assert took_s <= in_turn_s + lost_s + 0.5
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.KILLED, Step.LOADING)
-    def test_a_keeper_that_dies_leaves_those_far_back_to_themselves(self):
-        """Loads wait for ever for a keeper that died.
+    def test_requests_far_back_notice_a_dead_issuer(self):
+        """Loads wait for ever for a dead issuer.
 
-        Those far back in its queue were told to ask again late.  The
-        cause would be waiting for a grant alone.
+        Requests far back in its queue have long retry intervals.  This
+        happens if they wait for a grant without retrying.
         """
 
         async def main():
@@ -226,7 +227,7 @@
         assert len(loads.starts_s) == 40
         assert took_s <= 1.5 * 40 / HANEUL.loads_per_s
 
-    def test_a_weight_that_rises_is_told_at_once(self):
+    def test_increased_weight_is_sent_at_once(self):
         async def main():
             link, loads, started_s = DirectLink(), Loads(), []
             tasks = [
@@ -247,22 +248,21 @@
 
         assert virtual_time.run(main()) < 3 * store_pacing.RETRY_INTERVAL_S
 
-    def test_a_keeper_of_before_says_nothing_and_is_asked_as_before(self):
+    def test_reply_of_an_earlier_version_has_the_default_interval(self):
         old = msgspec.msgpack.encode({'granted': False})
         reply = msgspec.msgpack.decode(old, type=store_pacing.PermitReply)
         assert reply.ask_again_s == store_pacing.RETRY_INTERVAL_S
 
 
 class TestLoss:
-    """Losing a permit or its keeper costs speed, never a load."""
+    """The loss of a permit or its issuer delays loads but fails none."""
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.KILLED, Step.LOADING)
-    def test_asker_that_dies_frees_its_permit_by_its_lease(self):
-        """Loads stop for good after a sidecar was killed in a load.
+    def test_permit_of_a_dead_requester_expires(self):
+        """Loads stop for ever after a sidecar is killed during a load.
 
-        A sidecar gets the only permit and dies; it never gives it back.
-        The others wait for it.  The cause would be a permit without an
-        end.
+        It holds the only permit and never releases it, and the others
+        wait.  This happens if permits have no lease.
         """
 
         async def main():
@@ -277,11 +277,11 @@
         assert started_s <= store_pacing.PERMIT_LEASE_S + 0.1
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.PARTITION, Step.LOADING)
-    def test_cut_off_keeper_leaves_each_its_equal_share(self):
-        """Nothing loads any more while the keeper is cut off.
+    def test_without_an_issuer_each_loads_at_its_equal_share(self):
+        """No adapter is loaded while the issuer is cut off.
 
-        Four sidecars ask, none gets an answer.  The cause would be a
-        permit that is needed to load; it is only polite.
+        Four sidecars request permits and get no answer.  This happens if
+        a load requires a permit; permits are only advisory.
         """
 
         async def main():
@@ -297,11 +297,11 @@
 
         starts_s = virtual_time.run(main())
         assert len(starts_s) == 12
-        # Four sidecars at half a load per second each is the store's 2.
+        # Four sidecars at 0.5 loads/s each use the store's 2 loads/s.
         assert max(starts_s) == pytest.approx(4.0, abs=0.2)
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.LINK_CUT, Step.LOADING)
-    def test_lost_grants_are_asked_for_again(self):
+    def test_lost_grants_are_retried(self):
         async def main():
             link, loads = DirectLink(), Loads()
             link.loses_grants = True
@@ -312,7 +312,7 @@
         assert len(loads.starts_s) == 4
         assert took_s < 4 * store_pacing.PERMIT_LEASE_S
 
-    def test_lost_returns_end_by_their_lease(self):
+    def test_permits_with_lost_returns_expire(self):
         async def main():
             link, loads = DirectLink(), Loads()
             link.loses_returns = True
@@ -322,7 +322,7 @@
         assert virtual_time.run(main()) < 3 * store_pacing.PERMIT_LEASE_S
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.SAME_TWICE, Step.LOADING)
-    def test_keeper_that_restarts_twice_serves_on(self):
+    def test_issuer_that_restarts_twice_keeps_serving(self):
         async def main():
             link, loads = DirectLink(), Loads()
             loading = asyncio.create_task(load_all(link, loads, 8))
@@ -345,7 +345,7 @@
 
         assert virtual_time.run(main()) == 1
 
-    def test_late_grant_is_given_back(self):
+    def test_late_grant_is_released(self):
         async def main():
             link = DirectLink()
             pacer = link.pacer('late')
@@ -375,12 +375,12 @@
 
 
 class TestOverTheLink:
-    """Two sidecars' nodes with real control links."""
+    """Two sidecar nodes with real control links."""
 
     @pytest.fixture
     async def nodes(self):
         secret = secrets.token_hex()
-        nobody = settings.Address(ip='127.0.0.1', port=1)
+        unused = settings.Address(ip='127.0.0.1', port=1)
         async with contextlib.AsyncExitStack() as exits:
             found = []
             for number in range(2):
@@ -393,8 +393,8 @@
                     ip='127.0.0.1',
                     work_port=0,
                     control_port=0,
-                    config_service=nobody,
-                    live_list=nobody,
+                    config_service=unused,
+                    live_list=unused,
                 )
                 node = node_module.Node(process, clock_module.SystemClock())
                 found.append(await exits.enter_async_context(node))
@@ -415,7 +415,7 @@
             node.membership.update(live_list.InstanceList(1, instances))
         return instances
 
-    async def test_permits_are_given_granted_and_returned(self, nodes):
+    async def test_permits_are_granted_and_released(self, nodes):
         store = settings.StoreSettings(loads_per_s=1000.0, loads_at_once=1)
         sides = [store_pacing.StorePacing(node, store) for node in nodes]
         self.publish(nodes)
@@ -436,7 +436,7 @@
             while any(side.issuer.held_count for side in sides):
                 await asyncio.sleep(0.01)
 
-    async def test_home_answers_where_an_adapter_is_used(self, nodes):
+    async def test_home_returns_the_assignment_of_an_adapter(self, nodes):
         for node in nodes:
             directory.serve_directory(
                 directory.Directory(node.clock),
