--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests are placed, and that entry instances agree on it."""
+"""Placement of requests, and agreement among entry instances."""
 
 import asyncio
 import collections
@@ -25,17 +25,17 @@
 
 
 class FakeHomes:
-    """The directories of all sidecars; some may be silent."""
+    """The directories of all sidecars, some of which do not answer."""
 
     def __init__(self, clock, names):
         self.directories = {n: directory.Directory(clock) for n in names}
         self.silent = set()
         self.asked = []
-        self.questions = []
+        self.requests = []
 
     async def locate(self, home, request):
         self.asked.append(home.name)
-        self.questions.append(request)
+        self.requests.append(request)
         if home.name in self.silent:
             raise errors.LinkError('silent')
         return await self.directories[home.name].locate(request)
@@ -74,14 +74,14 @@
 
 
 class TestHome:
-    def test_same_at_every_entry_instance(self, clock, instances):
+    def test_is_the_same_in_every_entry_instance(self, clock, instances):
         first, second = make_placement(clock), make_placement(clock)
         for number in range(50):
             key = f'adapter-{number}@1'
             chosen = first.ranked_instances(key, instances)
             assert chosen == second.ranked_instances(key, instances[::-1])
 
-    def test_only_the_adapters_of_a_lost_one_move(self, instances):
+    def test_only_adapters_of_a_lost_instance_move(self, instances):
         for number in range(200):
             key = f'adapter-{number}@1'
             before = placement.rank_by_hash(key, instances)
@@ -89,21 +89,21 @@
             if before[0] != instances[0]:
                 assert after[0] == before[0]
 
-    def test_what_nobody_holds_goes_to_one_engine_from_every_entry(
+    def test_unheld_adapter_goes_to_one_engine_from_every_entry(
         self, clock, instances
     ):
-        """An adapter is brought from the store several times.
+        """An adapter is loaded from the store several times.
 
-        Two entries have heard of different engines with free slots, and
-        each sends the first request for it to another one.
+        Two entry instances know of different engines with free slots,
+        and each sends its first request to another one.
         """
         first, second = make_placement(clock), make_placement(clock)
         for number in range(50):
             key = f'adapter-{number}@1'
-            for places, spare in ((first, number % 3), (second, 2)):
-                for place, instance in enumerate(instances):
-                    slots = 4 + (place + spare) % 3
-                    places.apply_hint_header(
+            for entry, spare in ((first, number % 3), (second, 2)):
+                for index, instance in enumerate(instances):
+                    slots = 4 + (index + spare) % 3
+                    entry.apply_hint_header(
                         instance.name, make_hint(spare_slots=slots)
                     )
             home = placement.rank_by_hash(key, instances)[0]
@@ -111,196 +111,195 @@
             assert second.ranked_instances(key, instances)[0] == home
 
     def test_every_instance_is_a_candidate(self, clock, instances):
-        places = make_placement(clock, stall_weight=0.1)
-        found = places.ranked_instances('a@1', instances)
+        entry = make_placement(clock, stall_weight=0.1)
+        found = entry.ranked_instances('a@1', instances)
         assert sorted(i.name for i in found) == [i.name for i in instances]
 
 
 class TestFleet:
-    """Many engines, of which an entry hears now and then."""
+    """Many engines, of which an entry instance rarely gets a hint."""
 
     KEY = 'a@1'
 
-    def make_places(self, clock, entry='edge-1'):
+    def make_fleet_placement(self, clock, name='edge-1'):
         return placement.Placement(
             clock,
             settings.ObjectiveSettings(stall_weight=1.0),
             no_spare_slot_penalty_s=0.0,
             load_max_age_s=2.0,
             cached_copies=cached_copies.CachedCopies(),
-            instance=entry,
+            instance=name,
         )
 
-    def names(self, places, instances):
-        return [i.name for i in places.ranked_instances(self.KEY, instances)]
+    def names(self, entry, instances):
+        return [i.name for i in entry.ranked_instances(self.KEY, instances)]
 
-    def test_a_load_that_was_told_long_ago_is_not_believed(
-        self, clock, instances
-    ):
-        """An adapter is loaded anew that an idle engine holds.
+    def test_outdated_load_is_ignored(self, clock, instances):
+        """An adapter is loaded again although an idle engine holds it.
 
-        The engine was full when this entry last heard from it, and is
-        passed over for as long as its hint is kept.
+        The engine was full at its last hint, and is passed over until
+        the hint expires.
         """
-        places = self.make_places(clock)
+        entry = self.make_fleet_placement(clock)
         full = make_hint(self.KEY, running=16, queued=8)
-        places.apply_hint_header(instances[2].name, full)
+        entry.apply_hint_header(instances[2].name, full)
         for other in (0, 1, 3, 4):
-            places.apply_hint_header(
+            entry.apply_hint_header(
                 instances[other].name, make_hint(load_wait_ms=200)
             )
-        assert self.names(places, instances)[0] != instances[2].name
+        assert self.names(entry, instances)[0] != instances[2].name
         clock.now_s += 2.5
-        assert self.names(places, instances)[0] == instances[2].name
+        assert self.names(entry, instances)[0] == instances[2].name
 
-    def test_who_kept_a_copy_is_asked_before_its_home(self, clock, instances):
-        places = self.make_places(clock)
+    def test_engine_with_a_cached_copy_ranks_before_the_home(
+        self, clock, instances
+    ):
+        entry = self.make_fleet_placement(clock)
         by_hash = placement.rank_by_hash(self.KEY, instances)
         for instance in instances:
-            places.apply_hint_header(
+            entry.apply_hint_header(
                 instance.name, make_hint(copy_wait_ms=30, copy_count=66)
             )
         keeper = by_hash[3].name
-        places.apply_listed_adapters(keeper, [self.KEY])
-        places.apply_listed_adapters(keeper, [])
-        assert self.names(places, instances)[0] == keeper
-        places.reset_instance(keeper)
-        assert self.names(places, instances)[0] == by_hash[0].name
+        entry.apply_listed_adapters(keeper, [self.KEY])
+        entry.apply_listed_adapters(keeper, [])
+        assert self.names(entry, instances)[0] == keeper
+        entry.reset_instance(keeper)
+        assert self.names(entry, instances)[0] == by_hash[0].name
 
-    def test_entries_bring_what_overflows_to_the_same_engines(
+    def test_overflow_goes_to_the_same_engines_from_every_entry(
         self, clock, instances
     ):
-        """An adapter is brought to as many engines as there are entries.
+        """An adapter is loaded on one engine per entry instance.
 
-        Its home has no turn for it, and each entry takes the engine for
-        the next one of which it has heard that it is a little emptier.
+        Its home is full, and each entry instance chooses the engine that
+        looks a little emptier by its own hints.
         """
         by_hash = placement.rank_by_hash(self.KEY, instances)
         for number in range(4):
-            places = self.make_places(clock, f'edge-{number}')
-            for place, instance in enumerate(instances):
-                running = (place + number) % 3
-                places.apply_hint_header(
+            entry = self.make_fleet_placement(clock, f'edge-{number}')
+            for index, instance in enumerate(instances):
+                running = (index + number) % 3
+                entry.apply_hint_header(
                     instance.name, make_hint(running=running)
                 )
             full = make_hint(self.KEY, running=16, queued=16)
-            places.apply_hint_header(by_hash[0].name, full)
-            assert self.names(places, instances)[0] == by_hash[1].name
+            entry.apply_hint_header(by_hash[0].name, full)
+            assert self.names(entry, instances)[0] == by_hash[1].name
 
-    def test_entries_ask_holders_in_orders_of_their_own(
-        self, clock, instances
-    ):
-        """All entries ask one engine, and are refused, beside idle ones.
+    def test_each_entry_tries_holders_in_its_own_order(self, clock, instances):
+        """All entry instances try one engine first and are refused.
 
-        Several engines hold an adapter, and nothing is known of their load.
+        Several engines hold the adapter, some idle, and no load is known.
         """
         first = set()
         for number in range(20):
-            places = self.make_places(clock, f'edge-{number}')
+            entry = self.make_fleet_placement(clock, f'edge-{number}')
             for instance in instances[:3]:
-                places.apply_listed_adapters(instance.name, [self.KEY])
-            found = self.names(places, instances)
+                entry.apply_listed_adapters(instance.name, [self.KEY])
+            found = self.names(entry, instances)
             assert set(found[:2]) < {i.name for i in instances[:3]}
             first.add(found[0])
         assert len(first) == 3
 
-    def test_one_that_does_not_hold_it_is_asked_third(self, clock, instances):
-        """Requests for a hot adapter are refused beside idle engines.
+    def test_non_holder_ranks_third(self, clock, instances):
+        """Requests for a hot adapter are refused while engines are idle.
 
-        All that hold it are full, and only these are asked.
+        All engines that hold the adapter are full, and only these are
+        tried.
         """
-        places = self.make_places(clock)
+        entry = self.make_fleet_placement(clock)
         for instance in instances[:4]:
-            places.apply_listed_adapters(instance.name, [self.KEY])
-        found = self.names(places, instances)
+            entry.apply_listed_adapters(instance.name, [self.KEY])
+        found = self.names(entry, instances)
         assert found[2] == instances[4].name
 
 
 class TestListed:
-    def test_prefers_where_the_list_says_it_is(self, clock, instances):
-        """An adapter is loaded anew that another engine holds.
+    def test_prefers_a_listed_holder(self, clock, instances):
+        """An adapter is loaded again although another engine holds it.
 
-        Another entry had it loaded.  This one has not heard from that
-        engine since; the published list tells it.
+        Another entry instance had it loaded, and this one has no hint of
+        it.  Only the published list shows the adapter.
         """
-        places = make_placement(clock)
+        entry = make_placement(clock)
         for instance in instances:
-            places.apply_hint_header(instance.name, make_hint())
-        last = places.ranked_instances('m/a', instances)[-1]
-        places.apply_listed_adapters(last.name, ['m/a', 'm/b'])
-        assert places.ranked_instances('m/a', instances)[0] == last
-
-    def test_what_is_listed_no_more_is_forgotten(self, clock, instances):
-        places = make_placement(clock)
-        before = places.ranked_instances('m/a', instances)
-        places.apply_listed_adapters(before[-1].name, ['m/a'])
-        places.apply_listed_adapters(before[-1].name, ['m/b'])
-        assert places.ranked_instances('m/a', instances) == before
-        places.apply_listed_adapters(before[-1].name, ['m/a'])
-        places.retain([i for i in instances if i != before[-1]])
-        places.retain(instances)
-        assert places.ranked_instances('m/a', instances)[0] != before[-1]
+            entry.apply_hint_header(instance.name, make_hint())
+        last = entry.ranked_instances('m/a', instances)[-1]
+        entry.apply_listed_adapters(last.name, ['m/a', 'm/b'])
+        assert entry.ranked_instances('m/a', instances)[0] == last
+
+    def test_forgets_what_is_no_longer_listed(self, clock, instances):
+        entry = make_placement(clock)
+        before = entry.ranked_instances('m/a', instances)
+        entry.apply_listed_adapters(before[-1].name, ['m/a'])
+        entry.apply_listed_adapters(before[-1].name, ['m/b'])
+        assert entry.ranked_instances('m/a', instances) == before
+        entry.apply_listed_adapters(before[-1].name, ['m/a'])
+        entry.retain([i for i in instances if i != before[-1]])
+        entry.retain(instances)
+        assert entry.ranked_instances('m/a', instances)[0] != before[-1]
 
 
 class TestHints:
-    def test_prefers_where_the_adapter_is(self, clock, instances):
-        places = make_placement(clock)
-        last = places.ranked_instances('a@1', instances)[-1]
+    def test_prefers_a_holder(self, clock, instances):
+        entry = make_placement(clock)
+        last = entry.ranked_instances('a@1', instances)[-1]
         for instance in instances:
-            places.apply_hint_header(instance.name, make_hint())
-        places.apply_hint_header(last.name, make_hint('a@1'))
-        assert places.ranked_instances('a@1', instances)[0] == last
-        assert places.ranked_instances('a@2', instances)[0] != last
-
-    def test_ages_out(self, clock, instances):
-        places = make_placement(clock)
-        before = places.ranked_instances('a@1', instances)
-        places.apply_hint_header(before[-1].name, make_hint('a@1'))
+            entry.apply_hint_header(instance.name, make_hint())
+        entry.apply_hint_header(last.name, make_hint('a@1'))
+        assert entry.ranked_instances('a@1', instances)[0] == last
+        assert entry.ranked_instances('a@2', instances)[0] != last
+
+    def test_expires(self, clock, instances):
+        entry = make_placement(clock)
+        before = entry.ranked_instances('a@1', instances)
+        entry.apply_hint_header(before[-1].name, make_hint('a@1'))
         clock.now_s += placement.HINT_AGE_S + 1.0
-        assert places.ranked_instances('a@1', instances) == before
+        assert entry.ranked_instances('a@1', instances) == before
 
     def test_avoids_full_slots_and_long_queues(self, clock, instances):
-        places = make_placement(clock)
-        home = places.ranked_instances('a@1', instances)[0]
+        entry = make_placement(clock)
+        home = entry.ranked_instances('a@1', instances)[0]
         for instance in instances:
-            places.apply_hint_header(instance.name, make_hint())
-        places.apply_hint_header(home.name, make_hint(spare_slots=0))
-        assert places.ranked_instances('a@1', instances)[0] != home
-        places.apply_hint_header(
+            entry.apply_hint_header(instance.name, make_hint())
+        entry.apply_hint_header(home.name, make_hint(spare_slots=0))
+        assert entry.ranked_instances('a@1', instances)[0] != home
+        entry.apply_hint_header(
             home.name, make_hint('a@1', running=16, queued=160)
         )
-        assert places.ranked_instances('a@1', instances)[0] != home
+        assert entry.ranked_instances('a@1', instances)[0] != home
 
-    def test_useless_ones_change_nothing(self, clock, instances):
-        places = make_placement(clock)
-        before = places.ranked_instances('a@1', instances)
+    def test_invalid_hints_are_ignored(self, clock, instances):
+        entry = make_placement(clock)
+        before = entry.ranked_instances('a@1', instances)
         for text in ('', 'x', 'AAAA', '=' * 5000):
-            places.apply_hint_header(before[-1].name, text)
-        assert places.ranked_instances('a@1', instances) == before
+            entry.apply_hint_header(before[-1].name, text)
+        assert entry.ranked_instances('a@1', instances) == before
 
-    def test_forgets_instances_that_left(self, clock, instances):
-        places = make_placement(clock)
+    def test_forgets_removed_instances(self, clock, instances):
+        entry = make_placement(clock)
         for instance in instances:
-            places.apply_hint_header(instance.name, make_hint('a@1'))
-        places.retain(instances[:1])
-        assert set(places._states) == {instances[0].name}
+            entry.apply_hint_header(instance.name, make_hint('a@1'))
+        entry.retain(instances[:1])
+        assert set(entry._states) == {instances[0].name}
 
 
-class TestKeptWeights:
-    """Weights that are kept against weights worked out each time."""
+class TestCachedCosts:
+    """Cached costs against costs that are computed each time."""
 
     @pytest.mark.parametrize('stall_weight', [0.1, 0.7])
     def test_same_choice_after_any_change(self, clock, stall_weight):
-        """Requests pile up at a backend server that is full by now.
+        """Requests pile up at a backend server that has become full.
 
-        A hint says so, or it is too old, or requests went there, after
-        the weights were worked out.  The cause would be a kept weight
-        that misses a change.
+        After the costs were computed, a hint arrived or expired, or
+        requests were sent there.  This happens if a cached cost is not
+        updated on each of these changes.
         """
         source = random.Random(20261202)
         instances = tuple(make_instances(6))
         kept, fresh = (make_placement(clock, stall_weight) for _ in range(2))
-        under_way = collections.deque()
+        in_progress = collections.deque()
         for _ in range(3000):
             clock.now_s += source.choice([0.0, 0.1, 3.0])
             key = f'adapter-{source.randrange(12)}@1'
@@ -316,57 +315,59 @@
                         load_wait_ms=source.randrange(20_000),
                         spare_slots=source.randrange(4),
                     )
-                    for places in (kept, fresh):
-                        places.apply_hint_header(name, found)
+                    for entry in (kept, fresh):
+                        entry.apply_hint_header(name, found)
                 case 1:
                     sent = contextlib.ExitStack()
-                    for places in (kept, fresh):
-                        sent.enter_context(places.track_request(key, name))
-                    under_way.append(sent)
-                case 2 if under_way:
-                    under_way.popleft().close()
+                    for entry in (kept, fresh):
+                        sent.enter_context(entry.track_request(key, name))
+                    in_progress.append(sent)
+                case 2 if in_progress:
+                    in_progress.popleft().close()
             chosen = kept.ranked_instances(key, instances)
-            # A list is weighed from nothing each time.
+            # For a new list, all costs are computed.
             assert chosen == fresh.ranked_instances(key, list(instances))
 
-    def test_successor_of_that_name_is_another(self, clock, instances):
-        """A request goes to a port where nobody listens any more.
+    def test_successor_of_the_same_name_has_its_own_address(
+        self, clock, instances
+    ):
+        """A request is sent to a port without a listener.
 
-        A backend server came back under its name on another port.  The
-        cause would be keeping its address with its weights.
+        A backend server restarted under its name on another port.  This
+        happens if its address is cached with its costs.
         """
-        places = make_placement(clock)
+        entry = make_placement(clock)
         before = tuple(instances)
-        places.ranked_instances('a@1', before)
+        entry.ranked_instances('a@1', before)
         after = tuple(
             msgspec.structs.replace(instance, work_port=7)
             for instance in instances
         )
-        found = places.ranked_instances('a@1', after)
+        found = entry.ranked_instances('a@1', after)
         assert {instance.work_port for instance in found} == {7}
 
     def test_is_bounded(self, clock):
-        places = make_placement(clock)
+        entry = make_placement(clock)
         for number in range(1000):
-            places.ranked_instances('a@1', make_instances(1 + number % 3))
-        assert len(places._costs) <= 64
-        assert all(len(s.columns) <= 64 for s in places._states.values())
+            entry.ranked_instances('a@1', make_instances(1 + number % 3))
+        assert len(entry._costs) <= 64
+        assert all(len(s.columns) <= 64 for s in entry._states.values())
 
 
 class TestObjective:
-    """The same load is packed or spread as the operator weighs it."""
+    """Load is packed or spread by the operator's objective."""
 
     def used(self, clock, instances, stall_weight):
-        places = make_placement(clock, stall_weight)
+        entry = make_placement(clock, stall_weight)
         for instance in instances:
-            places.apply_hint_header(instance.name, make_hint(running=4))
+            entry.apply_hint_header(instance.name, make_hint(running=4))
         chosen = []
         for number in range(400):
             clock.now_s += 0.2
             key = f'adapter-{number}@1'
-            chosen.append(places.ranked_instances(key, instances)[0].name)
+            chosen.append(entry.ranked_instances(key, instances)[0].name)
             for instance in instances:
-                places.apply_hint_header(instance.name, make_hint(running=4))
+                entry.apply_hint_header(instance.name, make_hint(running=4))
         return set(chosen[300:])
 
     def test_packs_for_efficiency_and_spreads_for_stalls(
@@ -377,11 +378,12 @@
         assert len(packed) == 2
         assert len(spread) == len(instances)
 
-    async def test_home_is_told_in_few_bytes_which_are_parked(self, clock):
-        """An entry spends most of its bytes on names of parked ones.
+    async def test_request_names_parked_servers_in_few_bytes(self, clock):
+        """Most bytes that an entry instance sends name parked servers.
 
-        With hundreds of backend servers most are out of use, and each
-        question named them all, 26 KB a second at the target size.
+        With hundreds of backend servers, most are parked.  If each
+        request to a home named them, this would be 26 KB/s at the target
+        size.
         """
         instances = tuple(make_instances(200))
         homes = FakeHomes(clock, [i.name for i in instances])
@@ -389,24 +391,24 @@
         for number in range(300):
             clock.now_s += 6.0
             await entry.locate(f'adapter-{number}@1', instances)
-        question = homes.questions[-1]
+        request = homes.requests[-1]
         used = {i.name for i in entry.ranked_instances('a@1', instances)[:1]}
         parked = {
             i.name
             for i in instances
-            if directory.retention_priority(i.name) < question.parked_below
+            if directory.retention_priority(i.name) < request.parked_below
         }
         assert len(parked) == 199
         assert not parked & used
-        assert len(msgspec.msgpack.encode(question)) < 128
+        assert len(msgspec.msgpack.encode(request)) < 128
 
 
 class TestAgreement:
-    async def test_entries_with_other_hints_meet(self, clock, instances):
+    async def test_entries_with_different_hints_agree(self, clock, instances):
         """Each entry instance has the adapter loaded on another engine.
 
-        Their hints differ, so each prefers another one; the store loads
-        the same adapter twice.  The cause was deciding alone.
+        Their hints differ, so each prefers another engine.  If each
+        decides on its own, the same adapter is loaded twice.
         """
         homes = FakeHomes(clock, [i.name for i in instances])
         entries = [make_placement(clock, homes=homes) for _ in range(3)]
@@ -432,11 +434,11 @@
         assert len(homes.asked) == 1
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.FROZEN, Step.BEFORE_ADMISSION)
-    async def test_silent_home_costs_one_question(self, clock, instances):
-        """Requests of some adapters fail or crawl while one is frozen.
+    async def test_silent_home_costs_one_request(self, clock, instances):
+        """Requests for some adapters fail or slow down.
 
-        Their home does not answer.  The cause would be needing it, or
-        asking it anew for each request.
+        The home of the adapters is frozen and does not answer.  This
+        happens if the home is required, or asked again for each request.
         """
         homes = FakeHomes(clock, [i.name for i in instances])
         homes.silent = {i.name for i in instances}
@@ -464,7 +466,7 @@
         )
         assert (await entry.locate('a@1', instances))[0] != first
 
-    async def test_instance_that_left_is_not_returned(self, clock, instances):
+    async def test_removed_instance_is_not_returned(self, clock, instances):
         homes = FakeHomes(clock, [i.name for i in instances])
         entry = make_placement(clock, homes=homes)
         first = (await entry.locate('a@1', instances))[0]
@@ -472,8 +474,8 @@
         assert first not in await entry.locate('a@1', left)
 
 
-class TestSeen:
-    """An adapter that answers show to be held needs no question."""
+class TestKnownHolders:
+    """For an adapter with a known holder, the home is not asked."""
 
     @pytest.fixture
     def homes(self, clock, instances):
@@ -486,13 +488,15 @@
             found.apply_hint_header(instance.name, make_hint())
         return found
 
-    async def test_is_used_without_a_question(self, entry, homes, instances):
+    async def test_are_used_without_asking_the_home(
+        self, entry, homes, instances
+    ):
         last = entry.ranked_instances('a@1', instances)[-1]
         entry.apply_hint_header(last.name, make_hint('a@1'))
         assert (await entry.locate('a@1', instances))[0] == last
         assert not homes.asked
 
-    async def test_word_of_the_home_comes_first(
+    async def test_assignment_of_the_home_comes_first(
         self, clock, entry, homes, instances
     ):
         first = (await entry.locate('a@1', instances))[0]
@@ -510,14 +514,14 @@
     @pytest.mark.proves(
         Promise.LEAVING, Fault.ENGINE_EMPTY, Step.BEFORE_ADMISSION
     )
-    async def test_stale_sight_ends(
+    async def test_outdated_holder_is_dropped(
         self, clock, entry, homes, instances, change
     ):
-        """Requests go on to an engine that has the adapter no more.
+        """Requests go on to an engine that no longer holds the adapter.
 
-        Its answers showed the adapter; then it restarts empty, is not
-        heard of, or leaves the list.  The cause would be trusting what
-        was seen without an end.
+        Its hints named the adapter; then it restarts empty, sends no
+        hints, or leaves the list.  This happens if a known holder never
+        expires.
         """
         last = entry.ranked_instances('a@1', instances)[-1]
         entry.apply_hint_header(last.name, make_hint('a@1'))
@@ -532,11 +536,11 @@
         assert found[0] != last
         assert homes.asked
 
-    async def test_engine_to_be_parked_is_left(self, clock):
-        """Few requests keep an engine in use that should fall out of it.
+    async def test_engine_to_be_parked_is_vacated(self, clock):
+        """Few requests keep an engine in use that should be parked.
 
-        Each answer shows its adapters held.  The cause would be to go
-        by that alone: the home never hears that they should move.
+        Each answer shows that it holds the adapters.  If this is enough,
+        the home is never asked to move them.
         """
         instances = tuple(make_instances(8))
         homes = FakeHomes(clock, [i.name for i in instances])
@@ -561,60 +565,60 @@
             parked_below=parked_below,
         )
 
-    async def test_first_proposal_stands(self, clock):
-        places = directory.Directory(clock)
-        await places.locate(self.request('x'))
-        reply = await places.locate(self.request('y'))
+    async def test_first_proposal_is_kept(self, clock):
+        home = directory.Directory(clock)
+        await home.locate(self.request('x'))
+        reply = await home.locate(self.request('y'))
         assert reply.instances == ('x',)
 
-    async def test_forgets_what_nobody_asks_for(self, clock):
-        places = directory.Directory(clock)
-        await places.locate(self.request('x'))
+    async def test_drops_entries_without_requests(self, clock):
+        home = directory.Directory(clock)
+        await home.locate(self.request('x'))
         clock.now_s += 46.0
-        reply = await places.locate(self.request('y'))
+        reply = await home.locate(self.request('y'))
         assert reply.instances == ('y',)
 
-    async def test_extra_places_end(self, clock):
-        places = directory.Directory(clock)
-        await places.locate(self.request('x', 'y', wanted=2))
+    async def test_extra_assignments_expire(self, clock):
+        home = directory.Directory(clock)
+        await home.locate(self.request('x', 'y', wanted=2))
         for _ in range(7):
             clock.now_s += 10.0
-            reply = await places.locate(self.request('x', 'y'))
+            reply = await home.locate(self.request('x', 'y'))
         assert reply.instances == ('x',)
 
-    async def test_leaves_parked_ones_after_a_least_stay(self, clock):
-        places = directory.Directory(clock)
-        await places.locate(self.request('x'))
+    async def test_drops_parked_instances_after_a_minimum_stay(self, clock):
+        home = directory.Directory(clock)
+        await home.locate(self.request('x'))
         below = directory.retention_priority('x') + 1
-        reply = await places.locate(self.request('y', parked_below=below))
+        reply = await home.locate(self.request('y', parked_below=below))
         assert reply.instances == ('x',)
         clock.now_s += 19.0
         kept = directory.retention_priority('x')
-        reply = await places.locate(self.request('y', parked_below=kept))
+        reply = await home.locate(self.request('y', parked_below=kept))
         assert reply.instances == ('x',)
-        reply = await places.locate(self.request('y', parked_below=below))
+        reply = await home.locate(self.request('y', parked_below=below))
         assert reply.instances == ('x',)
         clock.now_s += 2.0
-        reply = await places.locate(self.request('y', parked_below=kept))
+        reply = await home.locate(self.request('y', parked_below=kept))
         assert reply.instances == ('x',)
-        reply = await places.locate(self.request('y', parked_below=below))
+        reply = await home.locate(self.request('y', parked_below=below))
         assert reply.instances == ('y',)
 
     async def test_is_bounded(self, clock):
-        places = directory.Directory(clock)
+        home = directory.Directory(clock)
         for number in range(9000):
-            await places.locate(
+            await home.locate(
                 directory.LocateRequest(
                     key=f'{number}', wanted=9999, proposals=('x',)
                 )
             )
-        assert len(places) == 8192
+        assert len(home) == 8192
 
 
 class TestVirtualLoop:
-    """The loop that these tests and the bench trust."""
+    """The event loop that these tests and the benchmark rely on."""
 
-    def test_time_jumps_and_deadlocks_are_said(self):
+    def test_time_jumps_and_deadlocks_raise(self):
         async def sleep():
             await asyncio.sleep(3600.0)
             return asyncio.get_running_loop().time()
@@ -624,13 +628,13 @@
             virtual_time.run(asyncio.Event().wait())
 
 
-class TestForget:
-    def test_one_that_started_again_holds_nothing(self, clock, instances):
-        """Requests go to an engine that was emptied by its restart."""
-        places = make_placement(clock)
-        places.apply_hint_header('sidecar-1', make_hint('x'))
-        places.apply_listed_adapters('sidecar-1', ['x'])
-        assert places.ranked_instances('x', instances)[0].name == 'sidecar-1'
-        places.reset_instance('sidecar-1')
+class TestResetInstance:
+    def test_restarted_instance_holds_nothing(self, clock, instances):
+        """Requests go to an engine that its restart has emptied."""
+        entry = make_placement(clock)
+        entry.apply_hint_header('sidecar-1', make_hint('x'))
+        entry.apply_listed_adapters('sidecar-1', ['x'])
+        assert entry.ranked_instances('x', instances)[0].name == 'sidecar-1'
+        entry.reset_instance('sidecar-1')
         home = placement.rank_by_hash('x', instances)[0]
-        assert places.ranked_instances('x', instances)[0] == home
+        assert entry.ranked_instances('x', instances)[0] == home
