--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -1,4 +1,4 @@
-"""A model engine in virtual time: reports, orders, and its capacity."""
+"""A fake model engine in virtual time, with reports and orders."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 
 class FakeEngine:
-    """Holds adapters as an engine does, and crashes at one too many.
+    """Holds adapters; crashes if they exceed the number of slots.
 
     Parameters
     ----------
     load_s
-        How long an adapter takes.
+        Duration of a load.
     held
-        Versions of the adapters that it holds at first.
+        Versions of the adapters that it holds initially.
     """
 
     def __init__(self, slot_count=3, load_s=0.25, has_model=True, held=()):
@@ -76,18 +76,18 @@
         return found
 
     async def load_model(self, model, fencing, incarnation):
-        refused = self._refusal(fencing, incarnation)
-        if refused:
-            return refused
+        refusal = self._refusal(fencing, incarnation)
+        if refusal:
+            return refusal
         self.model_orders.append(model)
         if not self.is_load_lost:
             asyncio.get_running_loop().call_later(1.0, self.models.add, model)
         return Result.ACCEPTED
 
     async def load(self, model, adapter, version, fencing, incarnation):
-        refused = self._refusal(fencing, incarnation)
-        if refused:
-            return refused
+        refusal = self._refusal(fencing, incarnation)
+        if refusal:
+            return refusal
         key = f'{model}/{adapter}'
         version = version or 1
         if self.held.get(key) == version:
@@ -95,8 +95,8 @@
         if self.busy_answers:
             self.busy_answers -= 1
             return Result.BUSY
-        taken = set(self.held) | set(self.pending) | {key}
-        if len(taken) > self.slot_count:
+        occupied = set(self.held) | set(self.pending) | {key}
+        if len(occupied) > self.slot_count:
             self.crash_count += 1
             self.is_up = False
             raise errors.PlatformError('crashed')
@@ -111,9 +111,9 @@
         return Result.ACCEPTED
 
     async def unload(self, model, adapter, fencing, incarnation):
-        refused = self._refusal(fencing, incarnation)
-        if refused:
-            return refused
+        refusal = self._refusal(fencing, incarnation)
+        if refusal:
+            return refusal
         key = f'{model}/{adapter}'
         if key in self.in_use:
             asyncio.get_running_loop().call_later(
--- a/tests/test_fencing_processes.py
+++ b/tests/test_fencing_processes.py
@@ -1,4 +1,4 @@
-"""Two sidecars of one engine, one frozen or killed, as real processes."""
+"""Fencing of two sidecars of one engine, with real processes."""
 
 import contextlib
 
@@ -63,9 +63,10 @@
 
 
 async def fill_slots(deployment):
-    """Fill every slot, with a long run that nobody waits for on one.
+    """Fill every slot; leave an abandoned long run on one adapter.
 
-    Its adapter is the first in any order, so the likely victim.
+    This adapter is the first in any order, so the likely victim of an
+    eviction.
     """
     async with deployment.call(
         deployment.entries[0],
@@ -91,11 +92,11 @@
     async def test_successor_waits_and_evicts_no_orphan(
         self, deployment, fencing
     ):
-        """A stream changes its adapter in the middle, or breaks.
+        """A stream changes its adapter in the middle, or is cut off.
 
-        A sidecar freezes with a run at the engine and every slot full;
-        its successor starts, then the frozen one is killed.  The run is
-        still there, with nobody waiting for it, when requests for other
+        A sidecar freezes with a run at the engine and every slot full.
+        Its successor starts, then the frozen one is killed.  The
+        abandoned run is still in progress when requests for other
         adapters need a slot.
         """
         await start(deployment, fencing, '--token-s', '0.02')
@@ -125,22 +126,22 @@
         assert len({run.run_id for run in truth.runs}) == len(truth.runs)
 
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.HALF_OPEN, Step.ANY)
-    async def test_late_order_of_the_old_one_is_refused(self, deployment):
-        """An adapter disappears under a request of the new sidecar.
+    async def test_late_order_of_the_old_sidecar_is_refused(self, deployment):
+        """An adapter is evicted under a request of the new sidecar.
 
-        An order of the old one was on its way when it was killed, and
-        arrives after the first order of the new one.
+        An order of the old sidecar is in transit when that is killed,
+        and arrives after the first order of the new one.
         """
         await start(deployment)
         assert await served(deployment, ADAPTERS[0])
-        old_number = (await report(deployment))['last_fencing']
+        old_token = (await report(deployment))['last_fencing']
         await deployment.sidecars[0].kill()
         successor = await deployment.spawn_successor(0)
         await successor.listening()
         await processes.until(lambda: served(deployment, ADAPTERS[1]))
         async with deployment.session.post(
             deployment.engines[0].url + '/v1/unload_lora_adapter',
-            json={'lora_name': f'{ADAPTERS[1]}@1', 'fencing': old_number},
+            json={'lora_name': f'{ADAPTERS[1]}@1', 'fencing': old_token},
         ) as response:
             assert response.status == 409
         assert f'{ADAPTERS[1]}@1' in (await report(deployment))['adapters']
@@ -153,7 +154,7 @@
     async def test_empty_engine_is_filled_again(self, deployment):
         """Every request fails after an engine has restarted.
 
-        It forgot its adapters and the last fencing number.
+        The engine has lost its adapters and the last fencing token.
         """
         await start(deployment)
         engine = deployment.engines[0]
@@ -170,9 +171,9 @@
 class TestAttaching:
     @pytest.mark.proves(Promise.NO_EVICTION, Fault.ENGINE_LATE, Step.ANY)
     async def test_no_order_before_the_engine_has_reported(self, deployment):
-        """A new sidecar gives an order with a number of nothing.
+        """A new sidecar sends an order before it has a fencing token.
 
-        The engine's report takes long when the sidecar starts.
+        The engine's first report is slow when the sidecar starts.
         """
         await start(deployment)
         assert await served(deployment, ADAPTERS[0])
