--- a/lacewingpitch/authentication.py
+++ b/lacewingpitch/authentication.py
@@ -102,12 +102,12 @@
         found = keys.holder(key) if key else None
         if found is not None or route.is_public:
             return found
-        if self._table.is_away:
+        if self._table.is_store_unreachable:
             # A newer configuration may contain the key, and its caller
             # would not retry after an "unknown key" refusal.
             raise self._outdated_refusal()
         raise errors.RefusalError(
-            errors.ErrorKind.UNAUTHENTICATED, 'unknown API key'
+            errors.ErrorKind.UNAUTHENTICATED, 'no such API key'
         )
 
     def _is_recent_enough(self, age_s: float) -> bool:
@@ -118,6 +118,6 @@
     def _outdated_refusal(self) -> errors.RefusalError:
         return errors.RefusalError(
             errors.ErrorKind.CONFIGURATION_OUTDATED,
-            'this instance cannot check API keys at present',
+            'the API key cannot be checked here at present',
             retry_after_s=self._random.uniform(*_RETRY_AFTER_S),
         )
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry instance on the platform."""
+"""Entry instance: accepts requests and forwards them to backend servers."""
 
 import contextlib
 
@@ -10,7 +10,6 @@
 from lacewingpitch import backend_call
 from lacewingpitch import backend_list
 from lacewingpitch import cached_copies
-from lacewingpitch import carrier as carrier_module
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
 from lacewingpitch import control_client
@@ -29,34 +28,36 @@
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
+from lacewingpitch import request_forwarder
 from lacewingpitch import retry_budget
-from lacewingpitch import service_choice
+from lacewingpitch import service_balancer
 from lacewingpitch import settings as product_settings
-from lacewingpitch import start_wait
+from lacewingpitch import startup_grace
 from lacewingpitch import suspects as suspects_module
-from lacewingpitch import turn_source
+from lacewingpitch import turn_client
 from lacewingpitch import usage_limits
 from lacewingpitch import usage_ownership
 
-# As many entries share the retry budget at least: more than there are at
-# the small sites, spare instances included.
-_LEAST_ENTRIES = 10
-# Runs at model engines last about as long; what one told before that says
-# little of its load now.
-_LOAD_AGE_S = 2.0
-# Links to sidecars that are kept open: twice the engines of the target.
+# The retry budget is divided by this number of entries at least, which is
+# more than small deployments have, including spare instances.
+_MIN_ENTRIES = 10
+# About the duration of a run at a model engine; an older load report says
+# little about the current load.
+_MAX_LOAD_AGE_S = 2.0
+# Open links to sidecars: twice the engines of a deployment of the target size.
 _MAX_PEERS = 2048
-# Processes that start ask once each, and seldom many of them together.
-_CONTROL_CONTEXTS = 4
-# Each adapter that an engine loads is a change of the list, so that the
-# pause decides how many calls an entry makes.  The rest of the time within
-# which news must be in force is for a slow store and a busy processor.
-_PAUSE_RATIO = 0.55
+# A starting process sends one state request; few processes start together.
+_MAX_CONTROL_REQUESTS = 4
+# Share of `propagation_limit_s` for which changes of the store are batched.
+# Each adapter that an engine loads changes the list, so that this delay
+# determines how many calls an entry makes.  The rest of the time allows for a
+# slow store and a busy CPU.
+_BATCH_DELAY_RATIO = 0.55
 log = structlog.get_logger(__name__)
 
 
 class Entry:
-    """Takes callers' requests and carries them to backend servers."""
+    """Accepts requests of callers and forwards them to backend servers."""
 
     def __init__(
         self,
@@ -96,14 +97,16 @@
         self._budgets = retry_budget.ServiceBudgets(
             file.settings.retry_ratio,
             file.settings.retry_allowance,
-            _LEAST_ENTRIES,
+            _MIN_ENTRIES,
         )
         self._suspects = suspects_module.Suspects(
             self._process.clock,
             self._process.random,
             lambda: file.settings.released_fingerprints,
         )
-        ends = self.servers.ends.subscribe(self._suspects.watch.note_ended)
+        ends = self.servers.unplanned_ends.subscribe(
+            self._suspects.detector.record_exit
+        )
         self._process.exits.callback(ends.dispose)
         self._usage = usage_limits.UsageLimits(
             file.settings.instance,
@@ -122,15 +125,15 @@
             self._process.metrics.seconds(
                 'request_seconds', 'Time from a request to its end.'
             ),
-            start_wait.StartWait(self._process.clock),
+            startup_grace.StartupGrace(self._process.clock),
             self._process.clock,
             self._authenticator,
             self._usage,
         )
-        self._carrier: carrier_module.Carrier | None = None
+        self._forwarder: request_forwarder.RequestForwarder | None = None
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         settings = self._file.settings
         return {
             'callers': settings_module.port_of(settings.callers),
@@ -138,7 +141,7 @@
         }
 
     async def start(self) -> None:
-        """Follow the store, and listen for callers."""
+        """Start to watch the store and to listen for callers."""
         settings = self._file.settings
         exits = self._process.exits
         exchange = configuration_exchange.ConfigurationExchange(
@@ -150,32 +153,34 @@
         exits.callback(exchange.close)
         self._process.background.run('settings', self._file.follow)
         self._process.background.run('silence', self.frontend.close_silent)
-        self._carrier = await self._new_carrier(exchange)
-        store = await self._follow(exchange)
-        self._add_metrics(self._carrier, store)
-        await self._share_state(exchange, store)
+        self._forwarder = await self._new_forwarder(exchange)
+        store = await self._watch_store(exchange)
+        self._add_metrics(self._forwarder, store)
+        await self._start_peer_bootstrap(exchange, store)
         await exits.enter_async_context(
             metrics_server.serving(
                 self._process.metrics, settings.ip, settings.metrics_port
             )
         )
-        await listening.listen(web.Server(self._ready), settings.ready, exits)
+        await listening.listen(
+            web.Server(self._handle_ready), settings.ready, exits
+        )
         await self.frontend.listen(settings.callers, exits)
 
-    async def _new_carrier(
+    async def _new_forwarder(
         self, exchange: configuration_exchange.ConfigurationExchange
-    ) -> carrier_module.Carrier:
+    ) -> request_forwarder.RequestForwarder:
         settings = self._file.settings
         process = self._process
         placement = placement_module.Placement(
             process.clock,
             product_settings.ObjectiveSettings(stall_weight=1),
             no_spare_slot_penalty_s=0.0,
-            load_max_age_s=_LOAD_AGE_S,
+            load_max_age_s=_MAX_LOAD_AGE_S,
             cached_copies=cached_copies.CachedCopies(),
             instance=settings.instance,
         )
-        services = service_choice.ServiceChoice(
+        services = service_balancer.ServiceBalancer(
             self.servers,
             self.ejector,
             settings.availability_zone,
@@ -183,12 +188,12 @@
         )
         for forget in (
             placement.reset_instance,
-            services.forget,
+            services.reset_latency,
             self.ejector.forget,
         ):
             subscription = self.servers.restarts.subscribe(forget)
             process.exits.callback(subscription.dispose)
-        turns = turn_source.TurnSource(
+        turns = turn_client.TurnClient(
             settings.instance,
             self._peers,
             self.servers,
@@ -196,11 +201,11 @@
             self.ejector,
             process.clock,
             exchange.reconcile,
-            self._budgets.note_entries,
+            self._budgets.record_entry_count,
             self._suspects,
         )
         process.background.run('turns', turns.run)
-        return carrier_module.Carrier(
+        return request_forwarder.RequestForwarder(
             backend_client.new_client(process.exits),
             turns,
             services,
@@ -212,12 +217,12 @@
             self._suspects,
         )
 
-    async def _share_state(
+    async def _start_peer_bootstrap(
         self,
         exchange: configuration_exchange.ConfigurationExchange,
         store: store_module.Store,
     ) -> None:
-        """Answer entries that start, and ask them as this one does."""
+        """Request state from other entries, and answer those that start."""
         settings = self._file.settings
         state = peer_bootstrap.PeerBootstrap(
             self._peers,
@@ -237,14 +242,14 @@
         if not settings.control:
             return
         control = link.ControlServer(
-            settings_module.sealer(settings), _CONTROL_CONTEXTS
+            settings_module.sealer(settings), _MAX_CONTROL_REQUESTS
         )
         control.handle(peer_bootstrap.StateRequest, state.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
         self._process.exits.push_async_callback(control.close)
 
     async def close(self) -> None:
-        """Finish what is in progress, then release everything."""
+        """Drain the requests in progress, then release all resources."""
         await draining.drain(
             self.frontend, self._process.clock, self._file.settings.drain_s
         )
@@ -252,7 +257,7 @@
 
     def _add_metrics(
         self,
-        carrier: carrier_module.Carrier,
+        forwarder: request_forwarder.RequestForwarder,
         store: store_module.Store,
     ) -> None:
         metrics = self._process.metrics
@@ -266,7 +271,7 @@
             'requests_resent_total',
             'Requests sent to another backend server, by service.',
             'service',
-            lambda: carrier.resent_count,
+            lambda: forwarder.retry_counts,
         )
         metrics.counter(
             'store_calls_total',
@@ -293,12 +298,12 @@
         metrics.gauge(
             'requests_isolated',
             'Requests that run isolated, as servers crashed under them.',
-            lambda: record.count_of(crash_record.Handling.ISOLATED),
+            lambda: record.request_count(crash_record.Handling.ISOLATED),
         )
         metrics.gauge(
             'requests_barred',
             'Requests that are refused, as servers crashed under them.',
-            lambda: record.count_of(crash_record.Handling.REFUSED),
+            lambda: record.request_count(crash_record.Handling.REFUSED),
         )
         metrics.gauge(
             'requests_in_progress',
@@ -329,25 +334,25 @@
         request: backend_call.CallerRequest,
         delivery: backend_call.Delivery,
     ) -> None:
-        assert self._carrier is not None
-        trail = await self._carrier.carry(request, delivery)
-        if trail.first_event_s:
+        assert self._forwarder is not None
+        history = await self._forwarder.forward(request, delivery)
+        if history.first_event_s:
             self._first_event_times.observe(
-                'route', request.route.name, trail.first_event_s
+                'route', request.route.name, history.first_event_s
             )
         log.info(
             'answered',
             request_id=request.request_id,
-            status=trail.status,
-            backend_servers=trail.servers,
-            turn_wait_ms=round(trail.turn_wait_s * 1000),
-            events=trail.splitter.event_count,
-            first_event_ms=round(trail.first_event_s * 1000),
-            longest_gap_ms=round(trail.longest_gap_s * 1000),
+            status=history.status,
+            backend_servers=history.servers,
+            turn_wait_ms=round(history.turn_wait_s * 1000),
+            events=history.splitter.event_count,
+            first_event_ms=round(history.first_event_s * 1000),
+            longest_gap_ms=round(history.longest_gap_s * 1000),
             list_age_s=round(self.servers.age_s, 1),
         )
 
-    async def _follow(
+    async def _watch_store(
         self, exchange: configuration_exchange.ConfigurationExchange
     ) -> store_module.Store:
         session = await self._process.exits.enter_async_context(
@@ -366,8 +371,8 @@
         watcher = store_module.PrefixWatcher(
             store,
             store_updates.common_prefix(handlers),
-            pause_s=_PAUSE_RATIO * settings.news_within_s,
-            current_within_s=self._authenticator.confirm_within_s,
+            batch_delay_s=_BATCH_DELAY_RATIO * settings.propagation_limit_s,
+            max_confirmation_age_s=self._authenticator.confirm_within_s,
             clock=self._process.clock,
             source=self._process.random,
         )
@@ -376,7 +381,7 @@
         )
         return store
 
-    async def _ready(self, _request: web.BaseRequest) -> web.Response:
+    async def _handle_ready(self, _request: web.BaseRequest) -> web.Response:
         if self.frontend.is_draining:
             return web.Response(status=503, text='draining\n')
         if (
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of failing backend servers and their careful return."""
+"""Ejection of failing backend servers and the trial that ends it."""
 
 import random
 
@@ -22,25 +22,25 @@
 
 def fail(ejector, name, times=3):
     for _ in range(times):
-        ejector.failed(name)
+        ejector.record_failure(name)
 
 
 class TestEjection:
     def test_after_failures_in_a_row_only(self, ejector):
         fail(ejector, 'a', 2)
-        ejector.succeeded('a')
+        ejector.record_success('a')
         fail(ejector, 'a', 2)
         assert ejector.allowed(NAMES) == NAMES
         fail(ejector, 'a', 1)
         assert ejector.allowed(NAMES) == ['b', 'c', 'd']
 
-    def test_leaves_half_of_them_when_all_fail(self, ejector):
+    def test_keeps_half_of_the_servers_when_all_fail(self, ejector):
         for name in NAMES:
             fail(ejector, name)
         assert ejector.allowed(NAMES) == ['c', 'd']
         assert ejector.allowed(['a']) == ['a']
 
-    def test_failures_from_before_do_not_lengthen_it(self, ejector, clock):
+    def test_failures_during_it_do_not_lengthen_it(self, ejector, clock):
         fail(ejector, 'a', 20)
         clock.now_s += 1.5
         assert 'a' in ejector.allowed(NAMES)
@@ -48,79 +48,74 @@
 
 class TestReturn:
     def test_one_request_tries_it(self, ejector, clock):
-        """A server that comes back is flooded, and falls over again.
+        """Guards against overloading a server that has just recovered.
 
-        Every request of the entry instance goes to it at once.
+        Without a trial, all requests of the entry instance would go to it
+        at once.
         """
         fail(ejector, 'a')
         clock.now_s += 1.5
         assert 'a' in ejector.allowed(NAMES)
-        ejector.begin('a')
+        ejector.record_start('a')
         assert 'a' not in ejector.allowed(NAMES)
-        ejector.succeeded('a')
+        ejector.record_success('a')
         assert 'a' in ejector.allowed(NAMES)
 
     def test_failed_trial_doubles_the_time(self, ejector, clock):
         fail(ejector, 'a')
         clock.now_s += 1.5
-        ejector.begin('a')
-        ejector.failed('a')
+        ejector.record_start('a')
+        ejector.record_failure('a')
         clock.now_s += 1.3
         assert 'a' not in ejector.allowed(NAMES)
         clock.now_s += 1.5
         assert 'a' in ejector.allowed(NAMES)
 
-    def test_trial_that_never_ends_is_given_up(self, ejector, clock):
+    def test_trial_that_never_ends_times_out(self, ejector, clock):
         fail(ejector, 'a')
         clock.now_s += 1.5
-        ejector.begin('a')
+        ejector.record_start('a')
         clock.now_s += 11.0
         assert 'a' in ejector.allowed(NAMES)
 
-    def test_trial_without_a_verdict_is_followed_by_another(
-        self, ejector, clock
-    ):
-        """A server that is well again gets no requests for ten seconds.
+    def test_inconclusive_trial_is_followed_by_another(self, ejector, clock):
+        """Guards against a healthy server without requests for 10 s.
 
-        It was ejected, and its time is up.  The request that tries it is
-        refused for a reason of its own, or its caller leaves, so that the
-        trial neither fails nor succeeds.
+        The trial after an ejection is refused for a reason of its own, or
+        its caller disconnects, so that it neither fails nor succeeds.
         """
         fail(ejector, 'a')
         clock.now_s += 1.5
-        ejector.begin('a')
+        ejector.record_start('a')
         assert 'a' not in ejector.allowed(NAMES)
-        ejector.ended('a')
+        ejector.record_end('a')
         assert 'a' in ejector.allowed(NAMES)
 
-    def test_the_end_of_a_trial_that_failed_lets_no_other_in(
-        self, ejector, clock
-    ):
+    def test_end_of_a_failed_trial_allows_no_other(self, ejector, clock):
         fail(ejector, 'a')
         clock.now_s += 1.5
-        ejector.begin('a')
-        ejector.failed('a')
-        ejector.ended('a')
+        ejector.record_start('a')
+        ejector.record_failure('a')
+        ejector.record_end('a')
         assert 'a' not in ejector.allowed(NAMES)
 
 
 class TestFailureRatio:
-    def test_is_the_share_of_late_and_fades(self, ejector, clock):
+    def test_covers_recent_requests_and_decays(self, ejector, clock):
         assert ejector.failure_ratio('a') == 0.0
         for _ in range(20):
-            ejector.failed('a')
-            ejector.succeeded('a')
+            ejector.record_failure('a')
+            ejector.record_success('a')
         assert 0.4 < ejector.failure_ratio('a') < 0.5
         clock.now_s += 30.0
         assert ejector.failure_ratio('a') < 0.05
 
 
 class TestForget:
-    def test_one_that_started_again_is_well(self, ejector):
-        """An engine that has just restarted gets no requests.
+    def test_a_restarted_server_is_no_longer_ejected(self, ejector):
+        """Guards against a restarted engine without requests.
 
-        It failed before it restarted, and the time of its ejection goes
-        on.
+        It failed before its restart, and its ejection has not ended.
         """
         fail(ejector, 'a')
         assert ejector.allowed(NAMES) == ['b', 'c', 'd']
