--- a/lacewingpitch/contract_gossip.py
+++ b/lacewingpitch/contract_gossip.py
@@ -258,7 +258,7 @@
             and (instance.region, instance.availability_zone)
             == (own.region, own.availability_zone)
         ]
-        elected = placement.rank(_WATCHER_ELECTION_KEY, same_zone)[
+        elected = placement.rank_by_hash(_WATCHER_ELECTION_KEY, same_zone)[
             :WATCHERS_PER_ZONE
         ]
         return own in elected
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside a model engine on the platform."""
+"""Sidecar process: grants turns at a model engine and loads its adapters."""
 
 import aiohttp
 import structlog
@@ -6,8 +6,7 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import configuration_exchange
 from lacewingpitch import crash_record
-from lacewingpitch import engine_keeper
-from lacewingpitch import grant
+from lacewingpitch import engine_controller
 from lacewingpitch import link
 from lacewingpitch import metrics_server
 from lacewingpitch.platform import engine_client as engine_client_module
@@ -16,16 +15,20 @@
 from lacewingpitch.platform import store as store_module
 from lacewingpitch.platform import store_updates
 from lacewingpitch.platform import wire
+from lacewingpitch import turn_messages
 from lacewingpitch import usage_lease
 
-# Each waits for one turn.  More entries than this would wait at once only
-# where an engine is so overloaded that it refuses.
-_CONTROL_CONTEXTS = 256
+# Each control request waits for one turn.  More would wait at once only at an
+# engine that is overloaded enough to refuse them.
+_MAX_CONTROL_REQUESTS = 256
 log = structlog.get_logger(__name__)
 
 
 class Sidecar:
-    """Grants turns at one engine, and orders its adapters."""
+    """Grants turns at one engine, and orders it to load adapters.
+
+    A turn is a lease on one of the engine's concurrent execution slots.
+    """
 
     def __init__(
         self,
@@ -36,15 +39,15 @@
         self._process = process_module.Process(file, clock)
         self._control = link.ControlServer(
             settings_module.sealer(file.settings),
-            _CONTROL_CONTEXTS,
+            _MAX_CONTROL_REQUESTS,
         )
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         return {'control': self._control.port}
 
     async def start(self) -> None:
-        """Attach to the engine, and listen for entries."""
+        """Connect to the engine, and listen for entries."""
         settings = self._file.settings
         session = await self._process.exits.enter_async_context(
             aiohttp.ClientSession()
@@ -60,7 +63,7 @@
                 self._process.metrics, settings.ip, settings.metrics_port
             )
         )
-        keeper = engine_keeper.EngineKeeper(
+        controller = engine_controller.EngineController(
             engine,
             self._process.table,
             self._process.versions,
@@ -73,19 +76,23 @@
                 lambda: self._file.settings.released_fingerprints,
             ),
         )
-        self._process.exits.push_async_callback(keeper.close)
+        self._process.exits.push_async_callback(controller.close)
         exchange = configuration_exchange.ConfigurationExchange(
             None,
             self._process.table,
             wire.decode_configuration,
             self._process.clock,
         )
-        self._control.handle(grant.TurnRequest, keeper.ask)
-        self._control.handle(grant.TurnEnds, keeper.end)
-        self._control.handle(grant.ConfigurationRequest, exchange.answer)
-        self._control.handle(grant.ConfigurationOffer, exchange.accept)
-        limits = usage_lease.UsageOwner(self._process.clock)
-        self._control.handle(usage_lease.UsageAsk, limits.grant)
+        self._control.handle(
+            turn_messages.TurnRequest, controller.request_turn
+        )
+        self._control.handle(turn_messages.TurnEnds, controller.end_turns)
+        self._control.handle(
+            turn_messages.ConfigurationRequest, exchange.answer
+        )
+        self._control.handle(turn_messages.ConfigurationOffer, exchange.accept)
+        usage_owner = usage_lease.UsageOwner(self._process.clock)
+        self._control.handle(usage_lease.UsageAsk, usage_owner.grant)
         store = store_module.Store(
             session, settings_module.url_of(settings.store)
         )
@@ -97,13 +104,13 @@
         watcher = store_module.PrefixWatcher(
             store,
             store_updates.common_prefix(handlers),
-            pause_s=0.0,
-            current_within_s=0.0,
+            batch_delay_s=0.0,
+            max_confirmation_age_s=0.0,
             clock=self._process.clock,
             source=self._process.random,
         )
-        # What is published later comes with the messages of entries, so
-        # that calls to the store do not grow with the number of engines.
+        # Later changes arrive with the messages of entries, so that the
+        # calls to the store do not grow with the number of engines.
         self._process.background.run(
             'store',
             lambda: store_updates.dispatch_changes(
@@ -111,10 +118,10 @@
             ),
         )
         self._process.background.run('settings', self._file.follow)
-        self._process.background.run('engine', keeper.run)
+        self._process.background.run('engine', controller.run)
         await self._control.start(settings.ip, settings.internal_port)
         self._process.exits.push_async_callback(self._control.close)
 
     async def close(self) -> None:
-        """Release everything; entries go on with what they were granted."""
+        """Release all resources; turns that were granted stay valid."""
         await self._process.exits.aclose()
--- a/lacewingpitch/suspects.py
+++ b/lacewingpitch/suspects.py
@@ -1,21 +1,24 @@
-"""What an entry knows of requests that crash backend servers."""
+"""An entry's components for tracking requests that crash backend servers."""
 
 from collections.abc import Callable, Collection
 import random
 
 from lacewingpitch import clock as clock_module
+from lacewingpitch import crash_detector
 from lacewingpitch import crash_record
-from lacewingpitch import crash_watch
 from lacewingpitch import suspect_exchange
 
 
 class Suspects:
-    """The record of an entry, what feeds it, and how it is shared.
+    """Crash record of an entry, its crash detector and its exchange.
 
     Parameters
     ----------
+    source
+        Draws the number that identifies this start of the process.
     released
-        Returns fingerprints that an operator lets through.
+        Returns fingerprints that the operator exempts from isolation and
+        refusal.
     """
 
     def __init__(
@@ -25,5 +28,5 @@
         released: Callable[[], Collection[str]] = tuple,
     ) -> None:
         self.record = crash_record.CrashRecord(clock, source, released)
-        self.watch = crash_watch.CrashWatch(self.record, clock)
+        self.detector = crash_detector.CrashDetector(self.record, clock)
         self.exchange = suspect_exchange.SuspectExchange(self.record)
--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -168,5 +168,5 @@
     def test_an_unknown_key_may_be_retried_while_the_store_is_down(self):
         """Guards against a final refusal of a key that was just added."""
         scene = Scene()
-        scene.table.is_away = True
+        scene.table.is_store_unreachable = True
         assert scene.refusal(key='key-9').status == 503
