--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -492,7 +492,7 @@
         contracts = {c.customer: c for c in map(make_contract, range(count))}
         owning.append(slopes.held_bytes(_owner, contracts, 5))
     times, sizes = [], []
-    sealer = link.Sealer('fleet', 'secret', 'entry-0001')
+    signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
     for count in WANTS:
         contracts = {c.customer: c for c in map(make_contract, range(count))}
         owner = _owner(contracts, 1)
@@ -500,9 +500,9 @@
         numbers = itertools.count(2)
         reply = owner.grant(_ask(held, 'entry-0001', 1))
         ask = _ask(held, 'entry-0001', next(numbers))
-        size = len(sealer.seal_short(ask)) + len(sealer.seal_short(reply))
+        size = len(signer.sign_short(ask)) + len(signer.sign_short(reply))
         sizes.append(size)
-        times.append(slopes.least_us(1, _renew, sealer, owner, held, numbers))
+        times.append(slopes.least_us(1, _renew, signer, owner, held, numbers))
     owners = []
     for count in ENTRIES:
         ownership = _ownership(count)
@@ -585,12 +585,12 @@
     return owner
 
 
-def _renew(sealer, owner, held, numbers) -> None:
+def _renew(signer, owner, held, numbers) -> None:
     asked_s = clock_module.SystemClock().monotonic_s()
-    data = sealer.seal_short(_ask(held, 'entry-0001', next(numbers)))
-    ask = sealer.open(data).decode(limit_lease.LeaseAsk)
-    data = sealer.seal_short(owner.grant(ask))
-    reply = sealer.open(data).decode(limit_lease.LeaseReply)
+    data = signer.sign_short(_ask(held, 'entry-0001', next(numbers)))
+    ask = signer.verify(data).decode(limit_lease.LeaseAsk)
+    data = signer.sign_short(owner.grant(ask))
+    reply = signer.verify(data).decode(limit_lease.LeaseReply)
     for leased, part in zip(held, reply.parts, strict=True):
         leased.apply(part, asked_s)
 
@@ -603,8 +603,8 @@
 
 async def measure_link():
     """One request and its reply over pynng, both ends in this process."""
-    sealer = link.Sealer('fleet', 'secret', 'entry-0001')
-    server = link.ControlServer(sealer)
+    signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
+    server = link.ControlServer(signer)
 
     async def echo(message):
         return message
@@ -614,7 +614,7 @@
     async with contextlib.AsyncExitStack() as exits:
         await server.start('127.0.0.1', 0)
         exits.push_async_callback(server.close)
-        peer = link.Peer(sealer, '127.0.0.1', server.port)
+        peer = link.Peer(signer, '127.0.0.1', server.port)
         exits.callback(peer.close)
         # Sizes take turns, since the machine's speed drifts.
         found = [
@@ -712,7 +712,7 @@
     """Counts messages between gossips, without a network."""
 
     def __init__(self) -> None:
-        self.sealer = link.Sealer('fleet', 'secret', 'entry-0001')
+        self.signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
         self.answers: dict[tuple[str, str], object] = {}
         self.sent_bytes = 0
         self.sent_count = 0
@@ -731,8 +731,8 @@
         wire = self.wire
         reply = await wire.answers[self.ip, type(message).__name__](message)
         wire.sent_count += 1
-        wire.sent_bytes += len(wire.sealer.seal_short(message))
-        wire.sent_bytes += len(wire.sealer.seal_short(reply))
+        wire.sent_bytes += len(wire.signer.sign_short(message))
+        wire.sent_bytes += len(wire.signer.sign_short(reply))
         return reply
 
 
@@ -927,9 +927,9 @@
         ),
         'hashes of the leaves': (digest,),
     }
-    sealer = link.Sealer('fleet', 'secret', 'sidecar-0001')
+    signer = link.MessageSigner('fleet', 'secret', 'sidecar-0001')
     for name, parts in messages.items():
-        size_bytes = sum(len(sealer.seal_short(part)) for part in parts)
+        size_bytes = sum(len(signer.sign_short(part)) for part in parts)
         print(f'{name}: {size_bytes:,} bytes')
 
 
--- a/benchmarks/contracts.py
+++ b/benchmarks/contracts.py
@@ -35,7 +35,7 @@
     def __init__(self, deployment):
         self.deployment = deployment
         self.revision = 1
-        self._sealer = link.Sealer('test', deployment.secret, 'bench')
+        self._signer = link.MessageSigner('test', deployment.secret, 'bench')
         self._peers = {}
 
     async def start(self):
@@ -64,7 +64,7 @@
     async def until_known(self, process):
         port = process.ports['control_port']
         if port not in self._peers:
-            self._peers[port] = link.Peer(self._sealer, processes.IP, port)
+            self._peers[port] = link.Peer(self._signer, processes.IP, port)
         request = contract_gossip.ContractsRequest(customers=('haneul',))
         while True:
             reply = await self._peers[port].ask(
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -434,11 +434,11 @@
 
     def __init__(self, entries):
         self._entries = entries
-        self._sealer = link.Sealer('bench', 'secret' * 8, 'entry')
+        self._signer = link.MessageSigner('bench', 'secret' * 8, 'entry')
         self.bytes = self.messages = 0
 
     def count(self, message):
-        data = self._sealer.seal_short(message)
+        data = self._signer.sign_short(message)
         self.bytes += len(data)
         self.messages += 1
 
@@ -539,7 +539,7 @@
 
 def measure_message(wants, rounds=300):
     """Return bytes and microseconds of one exchange, both ends."""
-    sealer = link.Sealer('bench', 'secret' * 8, 'entry')
+    signer = link.MessageSigner('bench', 'secret' * 8, 'entry')
     entries = [f'customer-{number}' for number in range(wants)]
     ask = limit_lease.LeaseAsk(
         holder='entry-1',
@@ -556,11 +556,11 @@
             limit_lease.LeaseGrant('', 2, 250, 2, 1, 0) for _ in entries
         )
     )
-    size = len(sealer.seal_short(ask)) + len(sealer.seal_short(reply))
+    size = len(signer.sign_short(ask)) + len(signer.sign_short(reply))
     started_s = time.process_time()
     for _ in range(rounds):
         for message in (ask, reply):
-            sealer.open(sealer.seal_short(message)).decode(type(message))
+            signer.verify(signer.sign_short(message)).decode(type(message))
     return size, (time.process_time() - started_s) / rounds * 1e6
 
 
--- a/lacewingpitch/account_copy.py
+++ b/lacewingpitch/account_copy.py
@@ -477,7 +477,7 @@
     ) -> None:
         message = backlog.next_copy(head, max_bytes)
         self.sent_count += 1
-        self.sent_bytes += len(self._node.sealer.seal(message))
+        self.sent_bytes += len(self._node.signer.sign(message))
         try:
             reply = await self._node.peers.peer(
                 peer.ip, peer.control_port
--- a/lacewingpitch/daemon.py
+++ b/lacewingpitch/daemon.py
@@ -31,7 +31,7 @@
         ...
 
 
-class Background:
+class BackgroundTasks:
     """What a daemon keeps open, and its tasks that go on for ever."""
 
     def __init__(self) -> None:
@@ -41,11 +41,11 @@
         self, name: str, work: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
         """Run a task until the exits are left."""
-        task = asyncio.create_task(supervised(name, work))
+        task = asyncio.create_task(run_supervised(name, work))
         self.exits.callback(task.cancel)
 
 
-async def supervised(
+async def run_supervised(
     name: str, work: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
     """Run a task that is to go on for ever; begin it anew if it fails.
--- a/lacewingpitch/entry.py
+++ b/lacewingpitch/entry.py
@@ -123,7 +123,7 @@
         ejector = ejection.Ejector(self._node.clock, random.Random())
         link = sidecar_link.SidecarLink(
             self._node.session,
-            self._node.sealer,
+            self._node.signer,
             self._node.peers,
             self._node.membership,
             places,
@@ -186,11 +186,11 @@
 
     def _add_routes(self) -> None:
         server = self._server
-        server.route_work('POST', '/v1/chat/completions', self._completion)
-        server.route_work('POST', '/v1/completions', self._completion)
+        server.route_tracked('POST', '/v1/chat/completions', self._completion)
+        server.route_tracked('POST', '/v1/completions', self._completion)
         server.route('GET', '/v1/models', self._models)
-        server.route_work('*', '/services/{name}', self._service)
-        server.route_work('*', '/services/{name}/{path:.*}', self._service)
+        server.route_tracked('*', '/services/{name}', self._service)
+        server.route_tracked('*', '/services/{name}/{path:.*}', self._service)
         server.route('GET', '/healthz', self._health)
         server.route('GET', '/readyz', self._ready)
 
@@ -204,7 +204,7 @@
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         request_id = str(uuid_utils.uuid7())
-        http_guard.name_request(request_id)
+        http_guard.bind_request_id(request_id)
         with self._account.counted(request_id) as tally:
             request[_TALLY] = tally
             try:
@@ -213,7 +213,7 @@
             except errors.RefusalError as error:
                 tally.refused(error)
                 response = response_format.refusal_response(error, request_id)
-            await http_guard.finish(request, response)
+            await http_guard.finish_response(request, response)
             tally.delivered()
         return response
 
--- a/lacewingpitch/http_guard.py
+++ b/lacewingpitch/http_guard.py
@@ -25,14 +25,14 @@
 
 # The library logs what it cannot parse as it came, API keys included.
 # What matters of it is answered and logged here instead.
-SILENT_LOGGER = logging.getLogger(f'{__name__}.silent')
-SILENT_LOGGER.disabled = True
+DISABLED_LOGGER = logging.getLogger(f'{__name__}.silent')
+DISABLED_LOGGER.disabled = True
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 @web.middleware
-async def answer_errors(
+async def error_middleware(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
     """Answer every error by one kind of the closed list."""
@@ -57,7 +57,7 @@
     return response_format.refusal_response(refusal, _request_id())
 
 
-async def expect(request: web.Request) -> web.StreamResponse | None:
+async def handle_expect(request: web.Request) -> web.StreamResponse | None:
     """Answer the header ``Expect`` before the body is read."""
     # The library's own handler quotes an unknown value, outside of every
     # middleware, and fails at one that is no text.
@@ -100,12 +100,12 @@
         ) from error
 
 
-def name_request(request_id: str) -> None:
+def bind_request_id(request_id: str) -> None:
     """Let the answer and every log line of a request say its id."""
     structlog.contextvars.bind_contextvars(**{_REQUEST_ID: request_id})
 
 
-def limit_stall(request: web.BaseRequest, stall_s: float) -> None:
+def set_stall_timeout(request: web.BaseRequest, stall_s: float) -> None:
     """Let the kernel end the connection when the other end stalls.
 
     A caller that stops to read, or vanishes without a word, holds its
@@ -121,7 +121,9 @@
         )
 
 
-async def finish(request: web.Request, response: web.StreamResponse) -> None:
+async def finish_response(
+    request: web.Request, response: web.StreamResponse
+) -> None:
     """Write an answer to its end; return once the connection took it.
 
     Raises
@@ -141,7 +143,7 @@
     # vanishes then has no whole answer, though the last write succeeded:
     # the account would claim it as served.  With a buffer limit of 0 the
     # drain returns only when the buffer is empty.  A caller that does not
-    # read is ended by `limit_stall`.
+    # read is ended by `set_stall_timeout`.
     writer = request.writer
     try:
         await response.write_eof()
--- a/lacewingpitch/http_server.py
+++ b/lacewingpitch/http_server.py
@@ -12,7 +12,7 @@
 from lacewingpitch import http_guard
 
 Handler = http_guard.Handler
-Mark = Callable[[web.Request, web.StreamResponse], Awaitable[None]]
+ResponseHook = Callable[[web.Request, web.StreamResponse], Awaitable[None]]
 _SHUTDOWN_S = 1.0
 _FIRST_BIND_DELAY_S = 0.05
 _MAX_BIND_DELAY_S = 1.0
@@ -32,7 +32,7 @@
     ) -> None:
         self._app = web.Application(
             client_max_size=max_body_bytes,
-            middlewares=[http_guard.answer_errors],
+            middlewares=[http_guard.error_middleware],
         )
         self._max_field_bytes = max_field_bytes
         self._stall_s = stall_s
@@ -45,22 +45,22 @@
     def route(self, method: str, path: str, handler: Handler) -> None:
         """Answer `method` at `path` by `handler`."""
         self._app.router.add_route(
-            method, path, handler, expect_handler=http_guard.expect
+            method, path, handler, expect_handler=http_guard.handle_expect
         )
 
-    def route_work(self, method: str, path: str, handler: Handler) -> None:
+    def route_tracked(self, method: str, path: str, handler: Handler) -> None:
         """Like `route`, for requests that a drain waits for."""
 
         async def counted(request: web.Request) -> web.StreamResponse:
             with self._counted():
-                http_guard.limit_stall(request, self._stall_s)
+                http_guard.set_stall_timeout(request, self._stall_s)
                 response = await handler(request)
-                await http_guard.finish(request, response)
+                await http_guard.finish_response(request, response)
                 return response
 
         self.route(method, path, counted)
 
-    def mark_answers(self, mark: Mark) -> None:
+    def add_response_hook(self, mark: ResponseHook) -> None:
         """Call `mark` on every answer before its head is sent."""
         self._app.on_response_prepare.append(mark)
 
@@ -75,7 +75,7 @@
         runner = await self._set_up()
         await self._listen(runner, ip, port)
 
-    async def start_when_free(self, ip: str, port: int) -> None:
+    async def start_when_port_free(self, ip: str, port: int) -> None:
         """Like `start`, but wait until no other process holds the port."""
         runner = await self._set_up()
         delay_s = _FIRST_BIND_DELAY_S
@@ -97,7 +97,7 @@
             handler_cancellation=True,
             access_log=None,
             shutdown_timeout=_SHUTDOWN_S,
-            logger=http_guard.SILENT_LOGGER,
+            logger=http_guard.DISABLED_LOGGER,
             keepalive_timeout=http_guard.KEEPALIVE_S,
             max_line_size=http_guard.MAX_FIELD_BYTES,
             max_field_size=self._max_field_bytes,
--- a/lacewingpitch/link.py
+++ b/lacewingpitch/link.py
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opened:
+class VerifiedMessage:
     """A message whose signature is right.
 
     Parameters
@@ -86,7 +86,7 @@
     body: msgspec.Raw
     is_short: bool
 
-    def is_of(self, kind: type[msgspec.Struct]) -> bool:
+    def has_kind(self, kind: type[msgspec.Struct]) -> bool:
         """Whether it says to be of that type."""
         return self.kind in (kind.__name__, kind_code(kind.__name__))
 
@@ -104,7 +104,7 @@
         return kind(*msgspec.structs.astuple(unnamed))
 
 
-class Sealer:
+class MessageSigner:
     """Signs and checks the messages of one deployment."""
 
     def __init__(self, deployment: str, secret: str, sender: str) -> None:
@@ -115,7 +115,7 @@
         self._secret = secret.encode()
         self._sender = sender
 
-    def seal(self, message: msgspec.Struct) -> bytes:
+    def sign(self, message: msgspec.Struct) -> bytes:
         """Return the signed bytes of `message`, as all versions read it."""
         body = msgspec.Raw(msgspec.msgpack.encode(message))
         kind = type(message).__name__
@@ -126,7 +126,7 @@
         )
         return data + self._tag(data)
 
-    def seal_short(self, message: msgspec.Struct) -> bytes:
+    def sign_short(self, message: msgspec.Struct) -> bytes:
         """Return the signed bytes of `message`, in the short form."""
         values = _without_defaults(message)
         data = _SHORT_MARK + msgspec.msgpack.encode(
@@ -139,7 +139,7 @@
         )
         return data + self._tag(data)[:_SHORT_TAG_BYTES]
 
-    def open(self, data: bytes) -> Opened:
+    def verify(self, data: bytes) -> VerifiedMessage:
         """Return a signed message, of either form.
 
         Raises
@@ -153,11 +153,13 @@
         if not hmac.compare_digest(tag, self._tag(content)[:tag_bytes]):
             raise errors.LinkError('wrong signature')
         try:
-            return self._open(content, is_short)
+            return self._decode_envelope(content, is_short)
         except (msgspec.DecodeError, RecursionError) as error:
             raise errors.LinkError('malformed envelope') from error
 
-    def _open(self, content: bytes, is_short: bool) -> Opened:
+    def _decode_envelope(
+        self, content: bytes, is_short: bool
+    ) -> VerifiedMessage:
         envelope: _Envelope | _ShortEnvelope
         if is_short:
             content = content.removeprefix(_SHORT_MARK)
@@ -171,7 +173,7 @@
             self._deployment_code,
         ):
             raise errors.LinkError('another deployment')
-        return Opened(
+        return VerifiedMessage(
             envelope.protocol, envelope.kind, envelope.body, is_short
         )
 
@@ -238,9 +240,9 @@
     """
 
     def __init__(
-        self, sealer: Sealer, context_count: int = _SERVER_CONTEXTS
+        self, signer: MessageSigner, context_count: int = _SERVER_CONTEXTS
     ) -> None:
-        self._sealer = sealer
+        self._signer = signer
         self._context_count = context_count
         self._handlers: dict[
             str | int, tuple[type[msgspec.Struct], Handler]
@@ -290,26 +292,26 @@
     async def _answer(self, data: bytes) -> bytes:
         # Whoever asks in one form reads that form; a process of before
         # the short form gets no reply that it cannot read.
-        seal = self._sealer.seal
+        sign = self._signer.sign
         if is_short_form(data):
-            seal = self._sealer.seal_short
+            sign = self._signer.sign_short
         try:
-            opened = self._sealer.open(data)
-            kind, handler = self._handlers[opened.kind]
-            message = opened.decode(kind)
+            verified = self._signer.verify(data)
+            kind, handler = self._handlers[verified.kind]
+            message = verified.decode(kind)
         except KeyError:
-            return seal(self._refuse('unknown kind'))
+            return sign(self._refuse('unknown kind'))
         except (msgspec.DecodeError, RecursionError):
-            return seal(self._refuse('malformed body'))
+            return sign(self._refuse('malformed body'))
         except errors.LinkError as error:
-            return seal(self._refuse(str(error)))
+            return sign(self._refuse(str(error)))
         try:
-            return seal(await handler(message))
+            return sign(await handler(message))
         except Exception:
             # A failing handler must not end the serving task: the peer
             # would see nothing but timeouts from then on.
             log.exception('control handler failed', kind=kind.__name__)
-            return seal(self._refuse('handler failed'))
+            return sign(self._refuse('handler failed'))
 
     def _refuse(self, reason: str) -> _Refused:
         # Reasons are fixed texts, so that nobody can make the table grow.
@@ -320,8 +322,8 @@
 class Peer:
     """The control link to one other process."""
 
-    def __init__(self, sealer: Sealer, ip: str, port: int) -> None:
-        self._sealer = sealer
+    def __init__(self, signer: MessageSigner, ip: str, port: int) -> None:
+        self._signer = signer
         self.address = f'tcp://{ip}:{port}'
         self._socket = pynng.Req0(recv_max_size=MAX_MESSAGE_BYTES)
         self._socket.dial(self.address, block=False)
@@ -358,38 +360,40 @@
             No usable reply within `timeout_s`; a `NoReplyError` if none.
         """
         async with _limit(self.address, timeout_s):
-            opened = await self._exchange(message)
-        if opened.is_of(_Refused):
+            verified = await self._exchange(message)
+        if verified.has_kind(_Refused):
             raise errors.LinkError(f'{self.address} replied _Refused')
-        if not opened.is_of(kind):
-            raise errors.LinkError(f'{self.address} replied {opened.kind}')
+        if not verified.has_kind(kind):
+            raise errors.LinkError(f'{self.address} replied {verified.kind}')
         try:
-            return opened.decode(kind)
+            return verified.decode(kind)
         except msgspec.DecodeError as error:
             raise errors.LinkError(f'malformed reply: {error}') from error
 
-    async def _exchange(self, message: msgspec.Struct) -> Opened:
+    async def _exchange(self, message: msgspec.Struct) -> VerifiedMessage:
         if self._reads_short:
-            opened = await self._send(self._sealer.seal_short(message))
-            if opened.is_short:
-                return opened
+            verified = await self._send(self._signer.sign_short(message))
+            if verified.is_short:
+                return verified
             # A process of an older version has taken the place of the one
             # that was there, and refused what it cannot read.
-        opened = await self._send(self._sealer.seal(message))
-        self._reads_short = opened.protocol >= _SHORT_SINCE
-        return opened
+        verified = await self._send(self._signer.sign(message))
+        self._reads_short = verified.protocol >= _SHORT_SINCE
+        return verified
 
-    async def _send(self, data: bytes) -> Opened:
+    async def _send(self, data: bytes) -> VerifiedMessage:
         with self._context() as context:
             await _finish(context.asend(data))
-            return self._sealer.open(await _finish(context.arecv()))
+            return self._signer.verify(await _finish(context.arecv()))
 
 
 class PeerPool:
     """The links that this process keeps open, least recently used out."""
 
-    def __init__(self, sealer: Sealer, capacity_peers: int = 256) -> None:
-        self._sealer = sealer
+    def __init__(
+        self, signer: MessageSigner, capacity_peers: int = 256
+    ) -> None:
+        self._signer = signer
         self._capacity_peers = capacity_peers
         self._peers: collections.OrderedDict[tuple[str, int], Peer] = (
             collections.OrderedDict()
@@ -400,7 +404,7 @@
         address = (ip, port)
         found = self._peers.get(address)
         if found is None:
-            found = Peer(self._sealer, ip, port)
+            found = Peer(self._signer, ip, port)
             self._peers[address] = found
         self._peers.move_to_end(address)
         while len(self._peers) > self._capacity_peers:
--- a/lacewingpitch/metrics_server.py
+++ b/lacewingpitch/metrics_server.py
@@ -25,7 +25,7 @@
         return await metrics.answer(request)
 
     runner = web.ServerRunner(
-        web.Server(answer, access_log=None, logger=http_guard.SILENT_LOGGER),
+        web.Server(answer, access_log=None, logger=http_guard.DISABLED_LOGGER),
         shutdown_timeout=_CLOSE_S,
     )
     await runner.setup()
--- a/lacewingpitch/node.py
+++ b/lacewingpitch/node.py
@@ -48,11 +48,11 @@
         self.settings = settings
         self.clock = clock
         self.started_at_s = clock.wall_s()
-        self.sealer = link.Sealer(
+        self.signer = link.MessageSigner(
             settings.deployment, settings.secret, settings.instance
         )
-        self.control = link.ControlServer(self.sealer)
-        self.peers = link.PeerPool(self.sealer)
+        self.control = link.ControlServer(self.signer)
+        self.peers = link.PeerPool(self.signer)
         self.membership = membership.Membership(clock, settings.deployment)
         # A sidecar decides by revision alone; of the contracts it keeps
         # those that changed last, for entries that missed the change.
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -88,7 +88,7 @@
             self._process.exits.enter_context(
                 contextlib.closing(
                     link.PeerPool(
-                        settings_module.sealer(file.settings), _MAX_PEERS
+                        settings_module.signer(file.settings), _MAX_PEERS
                     )
                 )
             ),
@@ -242,7 +242,7 @@
         if not settings.control:
             return
         control = link.ControlServer(
-            settings_module.sealer(settings), _MAX_CONTROL_REQUESTS
+            settings_module.signer(settings), _MAX_CONTROL_REQUESTS
         )
         control.handle(peer_bootstrap.StateRequest, bootstrap.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
--- a/lacewingpitch/platform/frontend.py
+++ b/lacewingpitch/platform/frontend.py
@@ -120,7 +120,7 @@
             request_factory=self._new_request,
             handler_cancellation=True,
             access_log=None,
-            logger=http_guard.SILENT_LOGGER,
+            logger=http_guard.DISABLED_LOGGER,
             keepalive_timeout=_KEEPALIVE_S,
             max_line_size=_MAX_LINE_BYTES,
             max_field_size=_MAX_LINE_BYTES,
@@ -217,7 +217,7 @@
         self._busy_transports.add(transport)
         self._silent_connections.record_request(transport)
         try:
-            http_guard.limit_stall(request, _STALL_TIMEOUT_S)
+            http_guard.set_stall_timeout(request, _STALL_TIMEOUT_S)
             await self._serve_request(
                 request, request_id, delivery, arrived_at_s
             )
--- a/lacewingpitch/platform/process.py
+++ b/lacewingpitch/platform/process.py
@@ -21,7 +21,7 @@
     ) -> None:
         self.clock = clock or clock_module.SystemClock()
         self.random = random.Random()
-        self.background = daemon.Background()
+        self.background = daemon.BackgroundTasks()
         self.exits = self.background.exits
         self.table = routing.RoutingTable(self.random)
         self.age = configuration_age.ConfigurationAge(self.clock)
--- a/lacewingpitch/platform/settings.py
+++ b/lacewingpitch/platform/settings.py
@@ -140,9 +140,9 @@
     return ip, number
 
 
-def sealer(settings: DaemonSettings) -> link.Sealer:
+def signer(settings: DaemonSettings) -> link.MessageSigner:
     """Return the signer of a process's control messages."""
-    return link.Sealer(_DEPLOYMENT, _SIGNING_KEY, settings.instance)
+    return link.MessageSigner(_DEPLOYMENT, _SIGNING_KEY, settings.instance)
 
 
 def address_of(endpoint: Endpoint) -> settings_module.Address:
--- a/lacewingpitch/platform/sidecar.py
+++ b/lacewingpitch/platform/sidecar.py
@@ -38,7 +38,7 @@
         self._file = file
         self._process = process_module.Process(file, clock)
         self._control = link.ControlServer(
-            settings_module.sealer(file.settings),
+            settings_module.signer(file.settings),
             _MAX_CONTROL_REQUESTS,
         )
 
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -104,13 +104,13 @@
         # mix their orders: one evicts what the other's request runs on.
         # The port is bound exclusively, also by a frozen process, and
         # freed by the kernel at its death; no order precedes it.
-        self._server.route_work('POST', '/run', self._take)
-        self._server.route_work('POST', '/resume', self._take_up)
+        self._server.route_tracked('POST', '/run', self._take)
+        self._server.route_tracked('POST', '/resume', self._take_up)
         self._server.route('GET', '/healthz', self._health)
         self._server.route('GET', '/readyz', self._ready)
         self._add_metrics()
-        self._server.mark_answers(self._mark_leaving)
-        await self._server.start_when_free(
+        self._server.add_response_hook(self._mark_leaving)
+        await self._server.start_when_port_free(
             self.settings.ip, self.settings.work_port
         )
         self._exits.push_async_callback(self._server.close)
@@ -190,7 +190,7 @@
     ) -> web.StreamResponse:
         try:
             order = work.decode_order(
-                request.headers.get(work.ORDER_HEADER, ''), self._node.sealer
+                request.headers.get(work.ORDER_HEADER, ''), self._node.signer
             )
         except errors.RefusalError as error:
             self._node.control.refused_count['foreign order'] += 1
--- a/lacewingpitch/sidecar_link.py
+++ b/lacewingpitch/sidecar_link.py
@@ -57,7 +57,7 @@
 
     Parameters
     ----------
-    may_leave
+    try_acquire_retry
         Whether the request may now go elsewhere although this attempt
         may run.
     """
@@ -66,7 +66,7 @@
     sidecar: live_list.Instance
     body: bytes
     content_type: str
-    may_leave: Callable[[], bool] = _never
+    try_acquire_retry: Callable[[], bool] = _never
 
     @property
     def attempt_id(self) -> str:
@@ -132,7 +132,7 @@
         # connection and sends nothing: the caller would wait for ever.
         # A sidecar that only waits for its engine answers at once, and
         # does not say for long that all was sent.
-        state = await self._link.ask_state(self.attempt)
+        state = await self._link.query_run_state(self.attempt)
         is_over = state is not ledger.RunState.STARTED
         if silences >= _MAX_SILENCES or (is_over and silences > 1):
             raise aiohttp.ClientPayloadError('the link is silent')
@@ -165,7 +165,7 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        sealer: link_module.Sealer,
+        signer: link_module.MessageSigner,
         peers: link_module.PeerPool,
         membership: membership_module.Membership,
         placement: placement_module.Placement,
@@ -173,7 +173,7 @@
         on_outdated: OnOutdated | None = None,
     ) -> None:
         self._session = session
-        self._sealer = sealer
+        self._signer = signer
         self._peers = peers
         self._membership = membership
         self._placement = placement
@@ -210,7 +210,7 @@
         # a connection that broke does not end the run.
         return await self.reattach(attempt, 0)
 
-    async def ask_state(
+    async def query_run_state(
         self,
         attempt: Attempt,
         *,
@@ -283,7 +283,7 @@
         self, path: str, attempt: Attempt
     ) -> aiohttp.ClientResponse:
         headers = {
-            work.ORDER_HEADER: work.encode_order(attempt.order, self._sealer)
+            work.ORDER_HEADER: work.encode_order(attempt.order, self._signer)
         }
         if attempt.content_type:
             headers['Content-Type'] = attempt.content_type
@@ -377,7 +377,7 @@
         # which the time for the reply ran out; a second follows it.
         for _ in range(_UNANSWERED_TO_LEAVE):
             try:
-                return await self.ask_state(
+                return await self.query_run_state(
                     attempt, only_asks=only_asks, timeout_s=_ASK_TIMEOUT_S
                 )
             except errors.NoReplyError:
@@ -393,7 +393,7 @@
         # when the sidecar wakes up.
         name = attempt.sidecar.name
         self._ejector.record_unresponsive(name)
-        if attempt.may_leave():
+        if attempt.try_acquire_retry():
             self.cancel(attempt)
             raise _unknown(f'{name} is silent')
 
@@ -434,7 +434,7 @@
         # promise not to does.
         name = attempt.sidecar.name
         try:
-            state = await self.ask_state(attempt)
+            state = await self.query_run_state(attempt)
         except errors.LinkError as error:
             self._membership.mark_suspect(name)
             raise _unknown(
@@ -469,7 +469,7 @@
                 done, _ = await asyncio.wait({task}, timeout=_SILENCE_S)
                 if done:
                     return task.result()
-                state = await self.ask_state(attempt)
+                state = await self.query_run_state(attempt)
                 if (
                     attempt.order.stream
                     or state is not ledger.RunState.STARTED
--- a/lacewingpitch/work.py
+++ b/lacewingpitch/work.py
@@ -81,12 +81,12 @@
     error: Refusal
 
 
-def encode_order(order: WorkOrder, sealer: link.Sealer) -> str:
+def encode_order(order: WorkOrder, signer: link.MessageSigner) -> str:
     """Return a signed order as the text of a header."""
-    return base64.b64encode(sealer.seal(order)).decode('ascii')
+    return base64.b64encode(signer.sign(order)).decode('ascii')
 
 
-def decode_order(text: str, sealer: link.Sealer) -> WorkOrder:
+def decode_order(text: str, signer: link.MessageSigner) -> WorkOrder:
     """Return the order in a header.
 
     Raises
@@ -95,10 +95,10 @@
         It is not an order of this deployment.
     """
     try:
-        opened = sealer.open(base64.b64decode(text, validate=True))
-        if not opened.is_of(WorkOrder):
-            raise errors.LinkError(f'not an order but {opened.kind}')
-        return opened.decode(WorkOrder)
+        message = signer.verify(base64.b64decode(text, validate=True))
+        if not message.has_kind(WorkOrder):
+            raise errors.LinkError(f'not an order but {message.kind}')
+        return message.decode(WorkOrder)
     except (ValueError, RecursionError, errors.LinkError) as error:
         raise errors.RefusalError(
             errors.ErrorKind.FOREIGN_PROCESS, str(error)
--- a/tests/account_fleet.py
+++ b/tests/account_fleet.py
@@ -41,7 +41,7 @@
             clock=fleet.clock,
             membership=fleet,
             peers=types.SimpleNamespace(peer=self._peer),
-            sealer=link.Sealer('test', 'x' * 16, name),
+            signer=link.MessageSigner('test', 'x' * 16, name),
             contract_registry=fleet.registry,
         )
         self.holder = account_copy.CopyHolder()
--- a/tests/fake_sidecars.py
+++ b/tests/fake_sidecars.py
@@ -31,8 +31,8 @@
 class FakeSidecar:
     """Answers every request as told, and counts them."""
 
-    def __init__(self, sealer):
-        self._sealer = sealer
+    def __init__(self, signer):
+        self._signer = signer
         self._server = http_server.HttpServer(1 << 20)
         self.kind = None
         self.kinds = []
@@ -49,7 +49,7 @@
 
     async def _run(self, request):
         order = work.decode_order(
-            request.headers[work.ORDER_HEADER], self._sealer
+            request.headers[work.ORDER_HEADER], self._signer
         )
         self.orders.append(order)
         if self.held is not None:
@@ -134,11 +134,11 @@
 
 @pytest.fixture
 async def bench():
-    sealer = link.Sealer('test', 'secret' * 4, 'entry')
+    signer = link.MessageSigner('test', 'secret' * 4, 'entry')
     clock = clock_module.SystemClock()
     async with contextlib.AsyncExitStack() as exits:
         session = await exits.enter_async_context(aiohttp.ClientSession())
-        sidecars = [FakeSidecar(sealer) for _ in range(3)]
+        sidecars = [FakeSidecar(signer) for _ in range(3)]
         for sidecar in sidecars:
             await sidecar.start()
             exits.push_async_callback(sidecar.close)
@@ -162,7 +162,7 @@
         ejector = ejection.Ejector(clock, random.Random(1))
         dispatcher = dispatch.Dispatcher(
             sidecar_link.SidecarLink(
-                session, sealer, peers, members, places, ejector
+                session, signer, peers, members, places, ejector
             ),
             members,
             places,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -328,8 +328,8 @@
 
     async def until_known(self, process, customer, revision):
         """Wait until a process knows a revision, by asking it as a peer."""
-        sealer = link.Sealer('test', self.secret, 'test')
-        peer = link.Peer(sealer, IP, process.ports['control_port'])
+        signer = link.MessageSigner('test', self.secret, 'test')
+        peer = link.Peer(signer, IP, process.ports['control_port'])
         request = contract_gossip.ContractsRequest(customers=(customer,))
 
         async def is_known():
@@ -363,9 +363,9 @@
 
     async def promises(self, instance):
         """Return whether a sidecar, being new, promises not to run."""
-        sealer = link.Sealer('test', self.secret, 'entry-0')
+        signer = link.MessageSigner('test', self.secret, 'entry-0')
         attempt_id = voiding.attempt_id(new_key(), 1)
-        with contextlib.closing(link.PeerPool(sealer)) as peers:
+        with contextlib.closing(link.PeerPool(signer)) as peers:
             reply = await peers.peer(instance.ip, instance.control_port).ask(
                 voiding.VoidRequest(attempt_id=attempt_id),
                 voiding.VoidReply,
--- a/tests/test_customer_limits_processes.py
+++ b/tests/test_customer_limits_processes.py
@@ -98,7 +98,7 @@
 
 async def until_leasing(deployment, number, customer):
     """Wait until an entry grants leases of a customer, as the owner."""
-    sealer = link_module.Sealer('test', deployment.secret, 'test')
+    signer = link_module.MessageSigner('test', deployment.secret, 'test')
     port = deployment.entries[number].ports['control_port']
     sequence = itertools.count(1)
 
@@ -112,7 +112,7 @@
         reply = await peer.ask(ask, limit_lease.LeaseReply, processes.WAIT_S)
         return bool(reply.parts)
 
-    peer = link_module.Peer(sealer, processes.IP, port)
+    peer = link_module.Peer(signer, processes.IP, port)
     with contextlib.closing(peer):
         await processes.until(is_leasing)
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -418,7 +418,7 @@
         an entry of another deployment whose list named the address.
         """
         order = samples.order(method='GET', service=demo.SERVICE)
-        foreign = link.Sealer('demo', 'another secret of 16', 'entry-0')
+        foreign = link.MessageSigner('demo', 'another secret of 16', 'entry-0')
         good = work.encode_order(order, foreign)
         headers = ['', 'x', good, good[:-4], good + good, 'é', 'A' * 9000]
         for number, text in enumerate(headers, 1):
--- a/tests/test_hint.py
+++ b/tests/test_hint.py
@@ -79,7 +79,7 @@
     ):
         async with processes.Deployment(tmp_path) as deployment:
             sidecar = await deployment.add_engine('--load-s', '0.2')
-            sealer = link.Sealer('test', deployment.secret, 'entry-0')
+            signer = link.MessageSigner('test', deployment.secret, 'entry-0')
             stalls_s = []
             for _ in range(2):
                 order = samples.order(
@@ -94,7 +94,7 @@
                     f'{sidecar.url}/run',
                     json={'model': 'fern', 'stream': stream},
                     headers={
-                        work.ORDER_HEADER: work.encode_order(order, sealer)
+                        work.ORDER_HEADER: work.encode_order(order, signer)
                     },
                 ) as response:
                     assert response.status == 200
--- a/tests/test_http_guard.py
+++ b/tests/test_http_guard.py
@@ -30,14 +30,14 @@
             connection = request.transport.get_extra_info('socket')
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         try:
-            await http_guard.finish(request, response)
+            await http_guard.finish_response(request, response)
         except (ConnectionError, asyncio.CancelledError):
             fates.put_nowait('gone')
             raise
         fates.put_nowait('taken')
         return response
 
-    server.route_work('GET', '/{name}', answer)
+    server.route_tracked('GET', '/{name}', answer)
     await server.start(IP, 0)
     yield server, fates
     await server.close()
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -32,34 +32,34 @@
     size: int = 0
 
 
-def make_sealer(deployment='test', secret=SECRET, sender='a'):
-    return link.Sealer(deployment, secret, sender)
+def make_signer(deployment='test', secret=SECRET, sender='a'):
+    return link.MessageSigner(deployment, secret, sender)
 
 
-class OldSealer(link.Sealer):
+class OldSigner(link.MessageSigner):
     """Seals and opens as the processes of protocol 1 did."""
 
-    def seal(self, message):
+    def sign(self, message):
         content = [1, 'test', 'a', type(message).__name__]
         data = msgspec.msgpack.encode([*content, message])
         return data + self._tag(data)
 
-    seal_short = seal
+    sign_short = sign
 
-    def open(self, data):
+    def verify(self, data):
         if not hmac.compare_digest(data[-32:], self._tag(data[:-32])):
             raise errors.LinkError('wrong signature')
-        return super().open(data)
+        return super().verify(data)
 
 
 class Server:
     """A control server that answers pings, and one link to it."""
 
     async def __aenter__(self):
-        self.control = link.ControlServer(make_sealer())
+        self.control = link.ControlServer(make_signer())
         self.control.handle(Ping, self.answer)
         await self.control.start(IP, 0)
-        self.peers = link.PeerPool(make_sealer(sender='b'))
+        self.peers = link.PeerPool(make_signer(sender='b'))
         return self
 
     async def __aexit__(self, *exception):
@@ -75,8 +75,8 @@
         factor = 1 << 70 if ping.note == 'huge' else 1
         return Pong(number=ping.number * factor)
 
-    async def ask(self, message, kind=Pong, sealer=None):
-        peers = link.PeerPool(sealer) if sealer else self.peers
+    async def ask(self, message, kind=Pong, signer=None):
+        peers = link.PeerPool(signer) if signer else self.peers
         peer = peers.peer(IP, self.control.port)
         return await peer.ask(message, kind, TIMEOUT_S)
 
@@ -101,7 +101,7 @@
 
     def turn_into_protocol_1(self):
         """Read and reply from now on as a process of before."""
-        self.control._sealer = OldSealer('test', SECRET, 'a')
+        self.control._signer = OldSigner('test', SECRET, 'a')
 
     async def still_serves(self):
         replies = await asyncio.gather(
@@ -132,7 +132,7 @@
     """Return a signed short envelope with some fields set otherwise."""
     content = {
         'protocol': link.PROTOCOL_VERSION,
-        'deployment': make_sealer()._deployment_code,
+        'deployment': make_signer()._deployment_code,
         'kind': link.kind_code('Ping'),
         'body': [1],
     } | fields
@@ -140,26 +140,26 @@
 
 
 def sign(data):
-    sealer = make_sealer()
-    return data + sealer._tag(data)
+    signer = make_signer()
+    return data + signer._tag(data)
 
 
 def sign_short(data):
     data = b'\xc1' + data
-    return data + make_sealer()._tag(data)[:16]
+    return data + make_signer()._tag(data)[:16]
 
 
-FORMS = [link.Sealer.seal, link.Sealer.seal_short]
+FORMS = [link.MessageSigner.sign, link.MessageSigner.sign_short]
 MARKS = [b'', b'\xc1']
 NESTED = b'\x91' * 100_000
 REFUSED = [
     (b'', 'wrong signature'),
     (b'x' * 100, 'wrong signature'),
     (
-        make_sealer(secret='another secret of 16').seal(Ping(number=1)),
+        make_signer(secret='another secret of 16').sign(Ping(number=1)),
         'wrong signature',
     ),
-    (make_sealer('other').seal(Ping(number=1)), 'another deployment'),
+    (make_signer('other').sign(Ping(number=1)), 'another deployment'),
     (envelope(protocol=0), 'protocol version too old'),
     (envelope(kind='Pung'), 'unknown kind'),
     (envelope(body={'number': 'one'}), 'malformed body'),
@@ -173,13 +173,13 @@
     (b'\xc1' * 100, 'wrong signature'),
     (short()[:-1], 'wrong signature'),
     # The HMAC of one form is none of the other.
-    (short()[:-16] + make_sealer()._tag(short()[:-16]), 'wrong signature'),
+    (short()[:-16] + make_signer()._tag(short()[:-16]), 'wrong signature'),
     (envelope()[:-16], 'wrong signature'),
     (
-        make_sealer(secret='another secret of 16').seal_short(Ping(number=1)),
+        make_signer(secret='another secret of 16').sign_short(Ping(number=1)),
         'wrong signature',
     ),
-    (make_sealer('other').seal_short(Ping(number=1)), 'another deployment'),
+    (make_signer('other').sign_short(Ping(number=1)), 'another deployment'),
     (short(protocol=0), 'protocol version too old'),
     (short(kind=link.kind_code('Pung')), 'unknown kind'),
     (short(kind='Ping'), 'malformed envelope'),
@@ -201,8 +201,8 @@
         serves; after one such message for each task nobody answers.
         """
         for _ in range(MANY):
-            reply = make_sealer().open(await server.send_raw(data))
-            assert reply.is_of(link._Refused)
+            reply = make_signer().verify(await server.send_raw(data))
+            assert reply.has_kind(link._Refused)
             # Who can read only one form gets its refusal in that form.
             assert reply.is_short == link.is_short_form(data)
         assert server.control.refused_count == {reason: MANY}
@@ -224,9 +224,9 @@
         assert await server.still_serves()
 
     async def test_another_deployment_learns_nothing(self, server):
-        foreign = make_sealer(secret='another secret of 16')
+        foreign = make_signer(secret='another secret of 16')
         with pytest.raises(errors.LinkError, match='signature'):
-            await server.ask(Ping(number=1), sealer=foreign)
+            await server.ask(Ping(number=1), signer=foreign)
 
     async def test_a_reply_of_another_kind_is_not_used(self, server):
         with pytest.raises(errors.LinkError, match='replied Pong'):
@@ -247,7 +247,7 @@
             for _ in range(MANY):
                 req = held.enter_context(pynng.Req0())
                 req.dial(f'tcp://{IP}:{server.control.port}', block=True)
-                req.send(make_sealer().seal(Ping(number=1)))
+                req.send(make_signer().sign(Ping(number=1)))
             # The library's threads take the messages meanwhile; the loop
             # stands still, so that no task sees its message yet.
             time.sleep(0.5)
@@ -270,19 +270,19 @@
         assert asking.cancelled()
 
 
-class TestSealer:
+class TestMessageSigner:
     @given(strategies.binary(max_size=200), strategies.sampled_from(MARKS))
     def test_opens_nothing_unsigned(self, data, mark):
         with pytest.raises(errors.LinkError):
-            make_sealer().open(mark + data)
+            make_signer().verify(mark + data)
 
     @pytest.mark.parametrize('form', FORMS)
     @given(strategies.integers(min_value=0), strategies.integers(1, 255))
     def test_opens_nothing_that_was_changed(self, form, position, flip):
-        data = bytearray(form(make_sealer(), Ping(number=1, note='note')))
+        data = bytearray(form(make_signer(), Ping(number=1, note='note')))
         data[position % len(data)] ^= flip
         with pytest.raises(errors.LinkError):
-            make_sealer().open(bytes(data))
+            make_signer().verify(bytes(data))
 
     @given(
         strategies.binary(max_size=200),
@@ -292,7 +292,7 @@
         self, data, signed
     ):
         try:
-            make_sealer().open(signed(data))
+            make_signer().verify(signed(data))
         except errors.LinkError:
             return
 
@@ -300,18 +300,18 @@
     @given(strategies.integers(0, 1 << 60), strategies.text(max_size=20))
     def test_opens_what_it_sealed(self, form, number, note):
         ping = Ping(number=number, note=note)
-        opened = make_sealer(sender='b').open(form(make_sealer(), ping))
-        assert opened.is_of(Ping) and not opened.is_of(Pong)
-        assert opened.decode(Ping) == ping
+        message = make_signer(sender='b').verify(form(make_signer(), ping))
+        assert message.has_kind(Ping) and not message.has_kind(Pong)
+        assert message.decode(Ping) == ping
 
     @given(strategies.binary(max_size=40), strategies.integers(0, 3))
     def test_a_short_body_gives_a_message_or_one_kind_of_error(
         self, junk, kept
     ):
         body = msgspec.msgpack.encode([1, 'note', [2]])[:kept] + junk
-        opened = link.Opened(2, 0, msgspec.Raw(body), is_short=True)
+        message = link.VerifiedMessage(2, 0, msgspec.Raw(body), is_short=True)
         try:
-            assert isinstance(opened.decode(Ping), Ping)
+            assert isinstance(message.decode(Ping), Ping)
         except (msgspec.DecodeError, RecursionError):
             return
 
@@ -325,13 +325,13 @@
         """
         body = {'number': 3, 'added': {'later': [1, 2]}}
         data = envelope(protocol=link.PROTOCOL_VERSION + 1, body=body, more=1)
-        reply = make_sealer().open(await server.send_raw(data))
-        assert reply.is_of(Pong)
+        reply = make_signer().verify(await server.send_raw(data))
+        assert reply.has_kind(Pong)
         assert reply.decode(Pong).number == 3
 
     async def test_a_newer_short_sender_is_understood(self, server):
         data = short(protocol=link.PROTOCOL_VERSION + 1, body=[3, '', 4], a=1)
-        reply = make_sealer().open(await server.send_raw(data))
+        reply = make_signer().verify(await server.send_raw(data))
         assert reply.is_short
         assert reply.decode(Pong).number == 3
 
@@ -367,10 +367,10 @@
     @given(strategies.text(max_size=200) | strategies.binary().map(str))
     def test_any_text_is_refused_as_foreign(self, text):
         with pytest.raises(errors.RefusalError) as caught:
-            work.decode_order(text, make_sealer())
+            work.decode_order(text, make_signer())
         assert caught.value.kind is errors.ErrorKind.FOREIGN_PROCESS
 
     def test_another_message_is_no_order(self):
-        text = work.encode_order(Ping(number=1), make_sealer())
+        text = work.encode_order(Ping(number=1), make_signer())
         with pytest.raises(errors.RefusalError, match='not an order'):
-            work.decode_order(text, make_sealer())
+            work.decode_order(text, make_signer())
--- a/tests/test_not_run_processes.py
+++ b/tests/test_not_run_processes.py
@@ -114,8 +114,8 @@
     """
     attempt_id = 'x' * len(voiding.attempt_id(processes.new_key(), 1))
     message = voiding.VoidRequest(attempt_id=attempt_id, instance='sidecar-0')
-    sealer = link.Sealer('test', 'secret', 'entry-0')
-    short = sealer.seal_short(message).partition(attempt_id.encode())[0]
+    signer = link.MessageSigner('test', 'secret', 'entry-0')
+    short = signer.sign_short(message).partition(attempt_id.encode())[0]
     # From the code of the kind on; its count of fields leaves none out.
     code = msgspec.msgpack.encode(link.kind_code('VoidRequest'))
     only_asks = msgspec.msgpack.encode('only_asks')
