--- a/lacewingpitch/adapter_holders.py
+++ b/lacewingpitch/adapter_holders.py
@@ -76,15 +76,15 @@
         self, instance: str, keys: Iterable[str]
     ) -> None:
         """Apply the adapters that an engine holds by the published list."""
-        found = frozenset(map(hint_module.fingerprint, keys))
-        before = self._listed.get(instance, frozenset())
-        for adapter in before - found:
+        current = frozenset(map(hint_module.fingerprint, keys))
+        previous = self._listed.get(instance, frozenset())
+        for adapter in previous - current:
             _drop(self._listed_holders, adapter, instance)
-        for adapter in found - before:
+        for adapter in current - previous:
             self._listed_holders.setdefault(adapter, set()).add(instance)
         if self._copies is not None:
-            self._copies.record_evictions(instance, before - found)
-        self._listed[instance] = found
+            self._copies.record_evictions(instance, previous - current)
+        self._listed[instance] = current
 
     def reset_instance(self, instance: str) -> None:
         """Forget the listed adapters and the copies of an engine."""
--- a/lacewingpitch/adapter_homes.py
+++ b/lacewingpitch/adapter_homes.py
@@ -109,12 +109,12 @@
         self, key: str, costs: placement_costs.PlacementCosts
     ) -> tuple[tuple[str, ...], float]:
         """Return the listed engines of the last assignment, and its age."""
-        known = self._assignments.get(key)
-        if known is None:
+        assignment = self._assignments.get(key)
+        if assignment is None:
             return (), math.inf
         listed = costs.column_by_name
-        names = tuple(name for name in known.names if name in listed)
-        return names, self._clock.monotonic_s() - known.received_at_s
+        names = tuple(name for name in assignment.names if name in listed)
+        return names, self._clock.monotonic_s() - assignment.received_at_s
 
     def _active_holders(
         self,
--- a/lacewingpitch/listed_instances.py
+++ b/lacewingpitch/listed_instances.py
@@ -22,7 +22,7 @@
     ) -> None:
         self._servers = servers
         self._placement = placement
-        self._known: dict[
+        self._cache: dict[
             str,
             tuple[
                 tuple[backend_list.BackendServer, ...],
@@ -33,28 +33,30 @@
     def serving(self, service: str) -> Sequence[live_list.Instance]:
         """Return the instances that serve a service."""
         servers = self._servers.serving(service)
-        known = self._known.get(service)
-        if known is not None and known[0] is servers:
-            return known[1]
-        found = tuple(map(_instance, servers))
-        if known is not None and known[1] == found:
+        cached = self._cache.get(service)
+        if cached is not None and cached[0] is servers:
+            return cached[1]
+        instances = tuple(map(_instance, servers))
+        if cached is not None and cached[1] == instances:
             # A new object would make placement compute the costs of all
             # engines again whenever one of them loads an adapter.
-            found = known[1]
+            instances = cached[1]
         else:
-            self._retain(service, found)
-        self._apply_listed_adapters(known[0] if known else (), servers)
-        self._known[service] = (servers, found)
-        return found
+            self._retain(service, instances)
+        self._apply_listed_adapters(cached[0] if cached else (), servers)
+        self._cache[service] = (servers, instances)
+        return instances
 
     def _apply_listed_adapters(
         self,
-        before: Sequence[backend_list.BackendServer],
+        previous: Sequence[backend_list.BackendServer],
         servers: Sequence[backend_list.BackendServer],
     ) -> None:
-        known = {server.name: server.adapters for server in before}
+        adapters_by_name = {
+            server.name: server.adapters for server in previous
+        }
         for server in servers:
-            if known.get(server.name) is not server.adapters:
+            if adapters_by_name.get(server.name) is not server.adapters:
                 self._placement.apply_listed_adapters(
                     server.name, _slot_names(server.adapters)
                 )
@@ -64,9 +66,9 @@
     ) -> None:
         others = [
             instance
-            for name, (_, found) in self._known.items()
+            for name, (_, cached) in self._cache.items()
             if name != service
-            for instance in found
+            for instance in cached
         ]
         self._placement.retain([*others, *instances])
 
--- a/lacewingpitch/placement.py
+++ b/lacewingpitch/placement.py
@@ -316,26 +316,26 @@
         # Keyed by identity, not by names: an instance of the same name
         # may be another process.  The cached costs keep the tuple
         # alive, so its id is not reused.
-        found = self._costs.get(id(fixed))
-        if found is None:
-            found = self._new_costs(fixed)
-        self._pools.set_active_count(found)
-        return found
+        costs = self._costs.get(id(fixed))
+        if costs is None:
+            costs = self._new_costs(fixed)
+        self._pools.set_active_count(costs)
+        return costs
 
     def _new_costs(
         self, instances: tuple[live_list.Instance, ...]
     ) -> placement_costs.PlacementCosts:
         if len(self._costs) >= _MAX_CACHED_COSTS:
             self._drop_costs()
-        found = placement_costs.PlacementCosts(
+        costs = placement_costs.PlacementCosts(
             instances,
             [self._state(instance.name) for instance in instances],
             self._pools.of(instances),
             self._fill_cost_s,
             self._no_spare_slot_penalty_s,
         )
-        self._costs[id(instances)] = found
-        return found
+        self._costs[id(instances)] = costs
+        return costs
 
     def _drop_costs(self) -> None:
         self._costs.clear()
--- a/lacewingpitch/placement_costs.py
+++ b/lacewingpitch/placement_costs.py
@@ -199,8 +199,8 @@
 
     def columns_of(self, names: Iterable[str]) -> list[int]:
         """Return the columns of backend servers; skip unknown names."""
-        found = (self.column_by_name.get(name) for name in names)
-        return [column for column in found if column is not None]
+        columns = (self.column_by_name.get(name) for name in names)
+        return [column for column in columns if column is not None]
 
     def waits_s(
         self, holders: Iterable[int], copies: Iterable[int] = ()
--- a/lacewingpitch/slots.py
+++ b/lacewingpitch/slots.py
@@ -26,12 +26,15 @@
 # Two pending permit requests keep the store busy; more would only delay
 # other sidecars whose waiting requests cost more.
 _MAX_PENDING_PERMITS = 2
+# Divided by the stall weight, how long an adapter waits before a busy slot
+# is closed for it.
 _CLOSE_AFTER_S = 2.0
 _INITIAL_LOAD_S = 0.5
 _RECHECK_INTERVAL_S = 1.0
 # Engine reports lag.  A report that an adopted adapter is idle is used
 # only if it was requested this long after the adoption.
 _MAX_REPORT_LAG_S = 3.0
+# How long a report may still list an adapter after its eviction.
 _EVICTION_LAG_S = 5.0
 log = structlog.get_logger(__name__)
 
@@ -197,17 +200,17 @@
         self._load_times.clear_copies()
 
     def remove(self, name: str) -> None:
-        """Record that the engine does not hold an adapter after all."""
+        """Remove an adapter that the engine turned out not to hold."""
         slot = self._slots.get(name)
         if slot is not None and slot.state is slot_module.SlotState.READY:
             self._slots.discard(slot)
             self._start_loads()
 
     def adopt(self, names: Iterable[str]) -> None:
-        """Add adapters that the engine holds and this table lacks.
+        """Add adapters that the engine holds and the slot table lacks.
 
         They were loaded for an earlier sidecar of this engine, or by a
-        load whose answer was lost.  Without them, this table would show
+        load whose answer was lost.  Without them, the table would show
         free slots while the engine is full, and each load would fail.
         """
         now_s = self._clock.monotonic_s()
@@ -450,14 +453,14 @@
                 # The adapter may or may not have been evicted.  If it
                 # was, the engine refuses its next request, and `remove`
                 # corrects the table.
-                self._restore(victims)
+                self._restore_victims(victims)
                 raise
             self._slots.discard(victim)
             self._load_times.record_use(victim.name)
             self._evicted_at_s[victim.name] = self._clock.monotonic_s()
             self.eviction_count += 1
 
-    def _restore(self, victims: list[slot_module.Slot]) -> None:
+    def _restore_victims(self, victims: list[slot_module.Slot]) -> None:
         for victim in victims:
             if self._slots.get(victim.name) is victim:
                 victim.state = slot_module.SlotState.READY
--- a/lacewingpitch/store_pacing.py
+++ b/lacewingpitch/store_pacing.py
@@ -304,13 +304,13 @@
                 del self._held_until_s[permit_id]
         while self._expirations and self._expirations[0][0] <= now_s:
             _, permit_id = heapq.heappop(self._expirations)
-            found = self._waiting.get(permit_id)
-            if found is None:
+            pending = self._waiting.get(permit_id)
+            if pending is None:
                 continue
-            if found.due_s + _REQUEST_EXPIRY_S <= now_s:
+            if pending.due_s + _REQUEST_EXPIRY_S <= now_s:
                 del self._waiting[permit_id]
             else:
-                expiration = (found.due_s + _REQUEST_EXPIRY_S, permit_id)
+                expiration = (pending.due_s + _REQUEST_EXPIRY_S, permit_id)
                 heapq.heappush(self._expirations, expiration)
 
     def _set_timer(self) -> None:
