--- a/lacewingpitch/engine_pools.py
+++ b/lacewingpitch/engine_pools.py
@@ -1,4 +1,8 @@
-"""Decides how many of the engines of each model are in use."""
+"""Decides how many of the engines of each model are in use.
+
+An engine that is not in use is parked: requests try it only after all
+active ones.
+"""
 
 from collections.abc import Sequence
 import math
--- a/lacewingpitch/placement.py
+++ b/lacewingpitch/placement.py
@@ -20,7 +20,7 @@
 from lacewingpitch import settings as settings_module
 
 # Hints older than this are dropped.
-HINT_AGE_S = 30.0
+HINT_MAX_AGE_S = 30.0
 _DEMAND_HALF_LIFE_S = 30.0
 _NO_SPARE_SLOT_PENALTY_S = 8.0
 _FILL_COST_S = 0.2
@@ -87,7 +87,7 @@
         objective: settings_module.ObjectiveSettings | None = None,
         homes: directory.DirectoryLink | None = None,
         no_spare_slot_penalty_s: float = _NO_SPARE_SLOT_PENALTY_S,
-        load_max_age_s: float = HINT_AGE_S,
+        load_max_age_s: float = HINT_MAX_AGE_S,
         cached_copies: cached_copies_module.CachedCopies | None = None,
         instance: str = '',
     ) -> None:
@@ -282,7 +282,9 @@
         ):
             self._states[name].is_load_current = False
             self._mark_stale(self._states[name])
-        for name in self._pop_expired(self._hint_received_at_s, HINT_AGE_S):
+        for name in self._pop_expired(
+            self._hint_received_at_s, HINT_MAX_AGE_S
+        ):
             self._forget_hint(name, self._states[name])
             self._mark_stale(self._states[name])
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -255,7 +255,7 @@
         entry = make_placement(clock)
         before = entry.ranked_instances('a@1', instances)
         entry.apply_hint_header(before[-1].name, make_hint('a@1'))
-        clock.now_s += placement.HINT_AGE_S + 1.0
+        clock.now_s += placement.HINT_MAX_AGE_S + 1.0
         assert entry.ranked_instances('a@1', instances) == before
 
     def test_avoids_full_slots_and_long_queues(self, clock, instances):
@@ -529,7 +529,7 @@
         if change == 'empty':
             entry.apply_hint_header(last.name, make_hint())
         elif change == 'too old':
-            clock.now_s += placement.HINT_AGE_S
+            clock.now_s += placement.HINT_MAX_AGE_S
         else:
             left = [i for i in instances if i != last]
         found = await entry.locate('a@1', left)
