--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -276,7 +276,11 @@
         choice = placement.Placement(clock_module.SystemClock())
         choices.append(
             slopes.least_us(
-                len(keys), slopes.for_each, choice.candidates, keys, members
+                len(keys),
+                slopes.for_each,
+                choice.ranked_instances,
+                keys,
+                members,
             )
         )
         requests.append(
