--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -160,11 +160,11 @@
             entry.apply_hint_header(
                 instance.name, make_hint(copy_wait_ms=30, copy_count=66)
             )
-        keeper = by_hash[3].name
-        entry.apply_listed_adapters(keeper, [self.KEY])
-        entry.apply_listed_adapters(keeper, [])
-        assert self.names(entry, instances)[0] == keeper
-        entry.reset_instance(keeper)
+        copy_holder = by_hash[3].name
+        entry.apply_listed_adapters(copy_holder, [self.KEY])
+        entry.apply_listed_adapters(copy_holder, [])
+        assert self.names(entry, instances)[0] == copy_holder
+        entry.reset_instance(copy_holder)
         assert self.names(entry, instances)[0] == by_hash[0].name
 
     def test_overflow_goes_to_the_same_engines_from_every_entry(
