--- a/lacewingpitch/engine_controller.py
+++ b/lacewingpitch/engine_controller.py
@@ -1,4 +1,4 @@
-"""Keeps one engine: follows its state and grants turns at it."""
+"""Controls one engine: polls its state and grants its turns."""
 
 import asyncio
 import contextlib
@@ -28,49 +28,50 @@
 from lacewingpitch import turn_queue
 from lacewingpitch import work
 
-# While a load is under way, or the engine starts, requests wait for the
-# report that shows it done.
-_LOADING_INTERVAL_S = 0.015
-# Otherwise a report tells of a restart, of leaving and of lost turns,
-# for which a fifth of a second is soon enough.
-_IDLE_INTERVAL_S = 0.2
-# An engine takes so many adapters at once from the store, and refuses
-# more.  What waits here instead is ordered by what its waiting costs.
-_MAX_LOADING = 4
-# A load while the weight store is not crowded, until loads tell.
-_FIRST_LOAD_S = 0.3
-# Requests whose adapter is being loaded while all turns are taken.
+# While a load is in progress or the engine starts, requests wait for the
+# report that shows its completion.
+_BUSY_POLL_INTERVAL_S = 0.015
+# Otherwise reports show restarts, leaving and lost turns, for which a fifth
+# of a second is soon enough.
+_IDLE_POLL_INTERVAL_S = 0.2
+# An engine loads at most this many adapters at once from the weight store,
+# and refuses more.  Loads that wait here are ordered by the cost of their
+# wait.
+_MAX_CONCURRENT_LOADS = 4
+# Initial estimate: a load while the weight store is not congested.
+_INITIAL_LOAD_S = 0.3
+# Requests that may load their adapters while all turns are in use.
 _LOOKAHEAD_COUNT = 8
 _MAX_QUEUED = 512
-_STARTING_RETRY_S = 0.3
+_STARTING_RETRY_AFTER_S = 0.3
 _MS_PER_S = 1000
-# The engine beside this process is asked directly, so that its report is
-# as of now.
-_OWN_REPORT_LAG_S = 0.0
-# An order whose answer was lost shows in the next report or two.
+# The local engine is polled directly, so that its reports are current.
+_REPORT_LAG_S = 0.0
+# An order whose answer was lost shows in one of the next two reports.
 _MODEL_ORDER_INTERVAL_S = 1.0
 log = structlog.get_logger(__name__)
 
 
 class Engine(engine_orders.EngineOrders, Protocol):
-    """What is needed of the engine."""
+    """Client of the engine."""
 
     async def incarnation(self) -> str:
-        """Return the name of the engine's incarnation."""
+        """Return the engine's current incarnation."""
         ...
 
     async def report(self) -> engine_snapshot.EngineSnapshot:
-        """Return what the engine says of itself."""
+        """Return a snapshot of the engine's state."""
         ...
 
 
 class EngineController:
-    """The one process that orders an engine, and grants turns at it.
+    """Sole controller of an engine: sends its orders and grants its turns.
 
     Parameters
     ----------
     service
-        Service that the engine belongs to; it names its limits.
+        Service that the engine belongs to; the engine's limits are
+        configured per service.
     crashes
         Requests that crash engines.
     """
@@ -87,7 +88,7 @@
     ) -> None:
         self._metrics = metrics
         self._crashes = crashes
-        self._looking = asyncio.Lock()
+        self._poll_lock = asyncio.Lock()
         self._engine = engine
         self._table = table
         self._versions = versions
@@ -101,35 +102,35 @@
         self.granter: turn_granter.TurnGranter | None = None
         self._adopted_runs: frozenset[str] = frozenset()
         self._is_down = True
-        self._model_order_at_s = 0.0
+        self._next_model_order_s = 0.0
         self._is_ready = asyncio.Event()
 
     async def request_turn(
         self, request: turn_messages.TurnRequest
     ) -> turn_messages.TurnReply:
-        """Return a turn, a refusal, or that it is still waited for."""
+        """Grant or refuse a turn, or reply that it is still pending."""
         self._crashes.merge(
             request.suspects.states if request.suspects else ()
         )
         reply = await self._request_turn(request)
-        news = suspect_exchange.update_for_requester(
+        update = suspect_exchange.update_for_requester(
             self._crashes, request.suspects
         )
-        if news is None:
+        if update is None:
             return reply
-        return msgspec.structs.replace(reply, suspects=news)
+        return msgspec.structs.replace(reply, suspects=update)
 
     async def _request_turn(
         self, request: turn_messages.TurnRequest
     ) -> turn_messages.TurnReply:
         if self.granter is None:
-            await self._until_ready(request.wait_ms / _MS_PER_S)
+            await self._wait_until_ready(request.wait_ms / _MS_PER_S)
         if self.granter is None:
             return turn_messages.TurnReply(
                 backend_server=self.view.backend_server,
                 refusal=errors.ErrorKind.QUEUE_FULL,
                 detail='the sidecar is starting',
-                retry_after_ms=int(_STARTING_RETRY_S * _MS_PER_S),
+                retry_after_ms=int(_STARTING_RETRY_AFTER_S * _MS_PER_S),
                 configuration_version=self._table.version,
             )
         return await self.granter.request_turn(request)
@@ -137,13 +138,13 @@
     async def end_turns(
         self, message: turn_messages.TurnEnds
     ) -> turn_messages.TurnEndsReply:
-        """Take back turns, and look at the engine where that is asked."""
+        """End turns, and poll the engine if the message requests its state."""
         if self.granter is not None:
             await self.granter.end_turns(message.turn_ids)
         if not message.asks_state or self._table.configuration is None:
             return turn_messages.TurnEndsReply()
-        async with self._looking:
-            await self._look()
+        async with self._poll_lock:
+            await self._poll()
         return turn_messages.TurnEndsReply(
             is_known=True,
             is_running=not self._is_down,
@@ -152,39 +153,39 @@
         )
 
     async def run(self) -> None:
-        """Follow the engine, for ever."""
+        """Poll the engine until cancelled."""
         await self._table.wait_until_loaded()
         while True:
-            async with self._looking:
-                await self._look()
-            await asyncio.sleep(self._interval_s)
+            async with self._poll_lock:
+                await self._poll()
+            await asyncio.sleep(self._poll_interval_s)
 
     @property
-    def _interval_s(self) -> float:
-        is_awaited = self.view.loading_count or self.view.is_starting
-        if self.granter is None or is_awaited:
-            return _LOADING_INTERVAL_S
-        return _IDLE_INTERVAL_S
+    def _poll_interval_s(self) -> float:
+        is_busy = self.view.loading_count or self.view.is_starting
+        if self.granter is None or is_busy:
+            return _BUSY_POLL_INTERVAL_S
+        return _IDLE_POLL_INTERVAL_S
 
-    async def _until_ready(self, limit_s: float) -> None:
-        # All processes of a deployment can start at once.  Entries then
-        # ask while this one reads its engine's state; a refusal would
-        # send their callers away, and most of them come back once at most.
+    async def _wait_until_ready(self, limit_s: float) -> None:
+        # When all processes of a deployment start at once, requests arrive
+        # while this process still reads its engine's state.  Refusals would
+        # reach the callers, most of which retry once at most.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 await self._is_ready.wait()
 
     async def close(self) -> None:
-        """End the loads that are waited for."""
+        """Cancel the pending loads."""
         if self._adapters is not None:
             await self._adapters.close()
 
-    async def _look(self) -> None:
-        asked_at_s = self._clock.monotonic_s()
+    async def _poll(self) -> None:
+        polled_at_s = self._clock.monotonic_s()
         try:
             snapshot = await self._engine.report()
             if self.view.is_outdated(snapshot):
-                raise errors.PlatformError('report of an earlier start')
+                raise errors.PlatformError('the report is of an earlier start')
             if self._is_down or self.view.is_restart(snapshot):
                 await self._attach(snapshot)
         except errors.PlatformError as error:
@@ -193,43 +194,43 @@
                     'dependency lost', dependency='engine', error=str(error)
                 )
             self._is_down = True
-            await self._refuse_unless_serving()
+            await self._refuse_pending_unless_serving()
             return
-        self._note_leaving(snapshot)
-        self.view.update(snapshot, asked_at_s)
-        await self._refuse_unless_serving()
+        self._log_leaving(snapshot)
+        self.view.update(snapshot, polled_at_s)
+        await self._refuse_pending_unless_serving()
         await self._order_model(snapshot)
-        self._begin(snapshot)
-        self._reconcile(snapshot, asked_at_s)
+        self._start_granting(snapshot)
+        self._reconcile(snapshot, polled_at_s)
         if self.granter is not None:
             await self.granter.end_stale(
-                snapshot.run_ids, asked_at_s, snapshot.queued > 0
+                snapshot.run_ids, polled_at_s, snapshot.queued > 0
             )
 
-    async def _refuse_unless_serving(self) -> None:
+    async def _refuse_pending_unless_serving(self) -> None:
         if self.granter is not None and not self.view.is_serving:
             await self.granter.refuse_pending()
 
     async def _attach(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
-        before = self.view.backend_server
+        previous = self.view.backend_server
         if self._table.engine_limits(self._service) is None:
-            raise errors.PlatformError('the configuration is not known yet')
+            raise errors.PlatformError('no configuration is known yet')
         incarnation = await self._engine.incarnation()
         self._is_down = False
         log.info(
             'dependency regained',
             dependency='engine',
             backend_server=incarnation,
-            backend_server_before=before,
+            backend_server_before=previous,
             adapters=len(snapshot.held),
             started_at_ms=snapshot.started_at_ms,
         )
-        if incarnation == before and not self.view.is_restart(snapshot):
+        if incarnation == previous and not self.view.is_restart(snapshot):
             return
         if self._adapters is not None:
-            # Before the loads in flight hear that the engine is gone: they
-            # would count as failures of their adapters, which nobody then
-            # gets for a second.
+            # Must precede the failure of the loads in flight, which would
+            # count as failures of their adapters and block these adapters
+            # for a second.
             self._adapters.clear()
         self.view.attach(incarnation, snapshot.started_at_ms)
         self._adopted_runs = frozenset()
@@ -239,10 +240,10 @@
     async def _order_model(
         self, snapshot: engine_snapshot.EngineSnapshot
     ) -> None:
-        """Order the base model for an engine that holds none.
+        """Order the base model to be loaded if the engine holds none.
 
-        An engine restarts empty.  Until it holds the model, it refuses
-        each adapter, and its requests wait for nothing.
+        An engine restarts without a model.  Until it holds the model, it
+        refuses every adapter, and waiting requests can't succeed.
         """
         limits = self._table.engine_limits(self._service)
         now_s = self._clock.monotonic_s()
@@ -252,10 +253,10 @@
             or snapshot.is_leaving
             or limits is None
             or not limits.models
-            or now_s < self._model_order_at_s
+            or now_s < self._next_model_order_s
         ):
             return
-        self._model_order_at_s = now_s + _MODEL_ORDER_INTERVAL_S
+        self._next_model_order_s = now_s + _MODEL_ORDER_INTERVAL_S
         model = limits.models[0]
         try:
             result = await self.view.load_model(model)
@@ -264,14 +265,15 @@
             return
         log.info('model ordered', model=model, result=result.name)
         if result is engine_orders.OrderResult.OTHER_INCARNATION:
-            # It restarted between two reports and had taken no order
-            # before, so that its count of orders told nothing.  Every
-            # order would go on naming the incarnation that is gone.
+            # The engine restarted between two reports and had accepted no
+            # order before, so that its order count didn't show the restart.
+            # Without a new attach every order would keep naming the old
+            # incarnation.
             self._is_down = True
 
-    def _note_leaving(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
-        before = self.view.snapshot
-        was_leaving = before is not None and before.is_leaving
+    def _log_leaving(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
+        previous = self.view.snapshot
+        was_leaving = previous is not None and previous.is_leaving
         if was_leaving != snapshot.is_leaving:
             log.info(
                 'engine leaving',
@@ -279,13 +281,15 @@
                 leaving=snapshot.is_leaving,
             )
 
-    def _begin(self, snapshot: engine_snapshot.EngineSnapshot) -> None:
+    def _start_granting(
+        self, snapshot: engine_snapshot.EngineSnapshot
+    ) -> None:
         limits = self._table.engine_limits(self._service)
         if self.granter is not None or limits is None:
             return
         if snapshot.pending:
-            # Loads of an earlier sidecar take slots that this one would
-            # count as free; an engine over its capacity crashes.
+            # Loads ordered by an earlier sidecar occupy slots that this one
+            # would count as free; an engine beyond its capacity crashes.
             return
         models = snapshot.models or limits.models[:1]
         slot_count = limits.adapter_capacity(models)
@@ -296,10 +300,10 @@
             self._fence,
             self._clock,
             stall_weight=1.0,
-            max_pending_permits=_MAX_LOADING,
-            max_concurrent_loads=_MAX_LOADING,
-            max_report_lag_s=_OWN_REPORT_LAG_S,
-            initial_load_s=_FIRST_LOAD_S,
+            max_pending_permits=_MAX_CONCURRENT_LOADS,
+            max_concurrent_loads=_MAX_CONCURRENT_LOADS,
+            max_report_lag_s=_REPORT_LAG_S,
+            initial_load_s=_INITIAL_LOAD_S,
         )
         adapters = self._adapters
         queue = turn_queue.TurnQueue(
@@ -312,7 +316,7 @@
                 self._clock,
             ),
             self._clock,
-            lambda order: _wait_s(adapters, order),
+            lambda order: _expected_adapter_wait_s(adapters, order),
         )
         record = turn_metrics.TurnMetrics(queue, self._metrics)
         self.granter = turn_granter.TurnGranter(
@@ -375,14 +379,14 @@
         )
 
     def _reconcile(
-        self, snapshot: engine_snapshot.EngineSnapshot, asked_at_s: float
+        self, snapshot: engine_snapshot.EngineSnapshot, polled_at_s: float
     ) -> None:
-        """Make the slots agree with what the engine reports to hold."""
+        """Align the slot table with the adapters that the engine reports."""
         adapters = self._adapters
         if adapters is None:
             return
         held = {
-            self._name_of(key, version)
+            self._slot_name(key, version)
             for key, version in snapshot.held.items()
         }
         for name in adapters.adapters:
@@ -398,10 +402,10 @@
             adapters.adopt(unknown)
         self._adopted_runs &= snapshot.run_ids
         if not self._adopted_runs:
-            adapters.release_adopted(asked_at_s, lambda _name: True)
+            adapters.release_adopted(polled_at_s, lambda _name: True)
 
-    def _name_of(self, key: str, version: int) -> str:
-        """Return the slot name of an adapter that the engine holds."""
+    def _slot_name(self, key: str, version: int) -> str:
+        """Return the slot name of an adapter held by the engine."""
         model, _, adapter = key.partition('/')
         wanted = self._versions.required_version(model, adapter)
         if version < wanted:
@@ -409,7 +413,7 @@
         return adapter_versions.slot_name(model, adapter, wanted)
 
 
-def _wait_s(
+def _expected_adapter_wait_s(
     adapters: slots_module.AdapterSlots, order: work.WorkOrder
 ) -> float:
     return adapters.expected_wait_s(order.path) if order.path else 0.0
--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -100,7 +100,7 @@
         self._configuration_version = configuration_version
         self._turns: dict[str, turn_lease.TurnLease] = {}
         self._entries = active_entries.ActiveEntries(clock)
-        self._expected_wait = wait_estimator.WaitEstimator(
+        self._wait_estimator = wait_estimator.WaitEstimator(
             adapters,
             batch_forecast.BatchForecast(self._turns, queue.turn_count, clock),
             pacer,
@@ -131,7 +131,7 @@
             if refusal is not None:
                 return self._refused(request, refusal)
             name = self._slot_name(request)
-            wait = self._expected_wait.of(request, name)
+            wait = self._wait_estimator.estimate(request, name)
             is_above_share = self._exceeds_fair_share(request, wait)
             refusal = self._admission.refusal(
                 request, wait.total_s, is_above_share
@@ -164,14 +164,14 @@
             await self._end(turn_id)
 
     async def end_stale(
-        self, run_ids: Collection[str], reported_at_s: float, is_queueing: bool
+        self, run_ids: Collection[str], polled_at_s: float, is_queueing: bool
     ) -> None:
         """End expired turns and those whose runs the engine doesn't report.
 
         Parameters
         ----------
         run_ids
-            Runs in progress at the engine, as of `reported_at_s`.
+            Runs in progress at the engine, as of `polled_at_s`.
         is_queueing
             Whether the engine has accepted requests that it has not
             started, and whose runs it does not report.
@@ -179,9 +179,9 @@
         now_s = self._clock.monotonic_s()
         for turn_id, turn in list(self._turns.items()):
             if turn.request.run_id in run_ids:
-                turn.last_reported_s = reported_at_s
+                turn.last_reported_s = polled_at_s
             if now_s >= turn.until_s or (
-                not is_queueing and turn.is_missing(reported_at_s)
+                not is_queueing and turn.is_missing(polled_at_s)
             ):
                 self._record.lapsed(turn, now_s)
                 await self._end(turn_id)
--- a/lacewingpitch/turn_lease.py
+++ b/lacewingpitch/turn_lease.py
@@ -31,8 +31,8 @@
     ----------
     until_s
         Deadline of the request.
-    expected_wait
-        Estimated wait when the request was admitted.
+    wait_estimate
+        Estimate made when the request was admitted.
     run_s
         Expected duration of the run.
     last_reported_s
@@ -46,7 +46,7 @@
     request: turn_messages.TurnRequest
     requested_at_s: float
     until_s: float
-    expected_wait: wait_estimator.WaitEstimate
+    wait_estimate: wait_estimator.WaitEstimate
     run_s: float = 0.0
     task: asyncio.Task[turn_messages.TurnReply] | None = None
     refusal: errors.RefusalError | None = None
@@ -87,8 +87,8 @@
         # so that a stalled engine worsens every estimate.
         return abs(self.granted_at_s + self.run_s - now_s)
 
-    def is_missing(self, reported_at_s: float) -> bool:
-        """Whether a report as of `reported_at_s` should show the run.
+    def is_missing(self, polled_at_s: float) -> bool:
+        """Whether a report as of `polled_at_s` should show the run.
 
         To be called for a report that doesn't show it.
         """
@@ -97,7 +97,7 @@
         since_s = self.granted_at_s
         if self.last_reported_s is not None:
             since_s = max(since_s, self.last_reported_s)
-        return reported_at_s - since_s >= _MISSING_AFTER_S
+        return polled_at_s - since_s >= _MISSING_AFTER_S
 
     def waits_ms(self, granted_at_s: float) -> dict[str, int]:
         """Return the wait of a granted turn for each of its steps."""
--- a/lacewingpitch/turn_metrics.py
+++ b/lacewingpitch/turn_metrics.py
@@ -38,7 +38,7 @@
         assert turn.granted_at_s is not None
         self.granted_count += 1
         request = turn.request
-        expected = turn.expected_wait
+        expected = turn.wait_estimate
         waited_s = turn.granted_at_s - turn.requested_at_s
         waits_ms = turn.waits_ms(turn.granted_at_s)
         self._wait_times.observe('route', request.route, waited_s)
--- a/lacewingpitch/wait_estimator.py
+++ b/lacewingpitch/wait_estimator.py
@@ -1,4 +1,4 @@
-"""How long a request would wait for its turn at an engine, by parts."""
+"""Estimates how long a request would wait for a turn at an engine."""
 
 import dataclasses
 from typing import Protocol
@@ -7,42 +7,42 @@
 from lacewingpitch import slot_simulation
 from lacewingpitch import turn_messages
 
-# What is expected until a place is free is a mean; runs last longer and
-# shorter by chance.  Counted so many times, most of those that are let in
-# are on time.
-_CAUTION = 1.5
+# The expected time until an adapter slot is free is a mean; individual runs
+# are longer or shorter.  With this safety factor most of the admitted
+# requests are on time.
+_SLOT_WAIT_SAFETY_FACTOR = 1.5
 
 
-class AdapterPlaces(Protocol):
-    """The places for adapters of an engine."""
+class AdapterWaits(Protocol):
+    """Estimates waits for the adapter slots of an engine."""
 
     def expected_wait(self, name: str = '') -> slot_simulation.AdapterWait:
-        """Return what a request for an adapter would wait now."""
+        """Return the wait of a request that now needs an adapter."""
         ...
 
 
-class BatchTurns(Protocol):
-    """The turns in the batch of an engine."""
+class BatchWaits(Protocol):
+    """Estimates waits for the turns in an engine's batch."""
 
     def wait_s(self, prepared_in_s: float, flow: str, weight: float) -> float:
-        """Return how long one waits that has its adapter by then."""
+        """Return the wait of a request that has its adapter by then."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitEstimate:
-    """What a request is expected to wait for.
+    """Expected wait of a request, by its parts.
 
     Parameters
     ----------
     slot_s
-        A place for its adapter.
+        Until an adapter slot is free.
     load_s
-        The adapter's load, once it has a place.
+        From then until the adapter is loaded.
     turn_s
-        A turn in the engine's batch, once its adapter is there.
+        From then until a turn in the engine's batch is free.
     prompt_s
-        The prompts ahead of its own, once it has its turn.
+        From then until the prompts ahead of its own are read.
     """
 
     slot_s: float = 0.0
@@ -52,7 +52,7 @@
 
     @property
     def adapter_s(self) -> float:
-        """Return what it waits for its adapter."""
+        """Return the wait for the adapter."""
         return self.slot_s + self.load_s
 
     @property
@@ -62,54 +62,51 @@
 
 
 class WaitEstimator:
-    """The one account of what a request at an engine would wait.
+    """Estimates the wait of requests at one engine.
 
-    Admission, the time to come back and the hints to entries all use it,
-    so that none of them lets a request in for which another says that it
-    is late.
+    Admission, retry times and the hints to entries all use this estimate,
+    so that none of them admits a request that another one considers late.
 
     Parameters
     ----------
     adapters
-        When a place comes free, and how long a load takes.
+        Estimates when a slot is free, and how long a load takes.
     batch
-        When a run ends, and who gets its turn.
+        Estimates when a run ends, and who gets its turn.
     pacer
-        Which prompts are ahead, and how fast they are read.
+        Estimates which prompts are ahead, and how fast they are read.
     """
 
     def __init__(
         self,
-        adapters: AdapterPlaces,
-        batch: BatchTurns,
+        adapters: AdapterWaits,
+        batch: BatchWaits,
         pacer: prefill_pacer.PrefillPacer,
     ) -> None:
         self._adapters = adapters
         self._batch = batch
         self._pacer = pacer
 
-    def of(
+    def estimate(
         self, request: turn_messages.TurnRequest, name: str
     ) -> WaitEstimate:
-        """Return what a request would wait that came now.
+        """Return the expected wait of a request that arrives now.
 
         Parameters
         ----------
         name
             Slot name of its adapter; empty for the base model alone.
         """
-        found = slot_simulation.AdapterWait()
+        wait = slot_simulation.AdapterWait()
         if name:
-            found = self._adapters.expected_wait(name)
-        slot_s = _CAUTION * found.slot_s
-        turn_s = self._batch.wait_s(
-            found.total_s, request.flow, request.weight
-        )
+            wait = self._adapters.expected_wait(name)
+        slot_s = _SLOT_WAIT_SAFETY_FACTOR * wait.slot_s
+        turn_s = self._batch.wait_s(wait.total_s, request.flow, request.weight)
         prompt_s = self._pacer.wait_s(
             request.prompt_tokens,
             request.flow,
             request.rank,
-            slot_s + found.load_s + turn_s,
+            slot_s + wait.load_s + turn_s,
             request.weight,
         )
-        return WaitEstimate(slot_s, found.load_s, turn_s, prompt_s)
+        return WaitEstimate(slot_s, wait.load_s, turn_s, prompt_s)
--- a/tests/test_wait_estimator.py
+++ b/tests/test_wait_estimator.py
@@ -1,4 +1,4 @@
-"""What a request at an engine is expected to wait, and what it waits."""
+"""Estimated and actual waits of requests at an engine."""
 
 import asyncio
 import random
@@ -19,18 +19,18 @@
 MANY_TOKENS = 20_000
 
 
-class Places:
-    """Places whose next adapter waits for a given time."""
+class AdapterSlots:
+    """Adapter slots at which the next adapter waits for a given time."""
 
-    def __init__(self, place_s=0.0, load_s=0.0):
-        self.wait = slot_simulation.AdapterWait(place_s, load_s)
+    def __init__(self, slot_s=0.0, load_s=0.0):
+        self.wait = slot_simulation.AdapterWait(slot_s, load_s)
 
     def expected_wait(self, name=''):
         return self.wait
 
 
-class Batch:
-    """A batch whose next turn comes free at a given time."""
+class FreeBatch:
+    """A batch whose next turn is free at a given time."""
 
     def __init__(self, free_in_s=0.0):
         self.free_in_s = free_in_s
@@ -39,38 +39,42 @@
         return max(0.0, self.free_in_s - prepared_in_s)
 
 
-def wait_of(places, tokens_ahead=0, batch=None, **fields):
+def estimate(slots, tokens_ahead=0, batch=None, **fields):
     async def main():
         pacer = prefill_pacer.PrefillPacer(virtual_time.LoopClock())
-        expects = wait_estimator.WaitEstimator(places, batch or Batch(), pacer)
+        estimator = wait_estimator.WaitEstimator(
+            slots, batch or FreeBatch(), pacer
+        )
         with pacer.expecting(tokens_ahead):
             request = msgspec.structs.replace(REQUEST, **fields)
-            return expects.of(request, 'm/a' if request.adapter else '')
+            return estimator.estimate(
+                request, 'm/a' if request.adapter else ''
+            )
 
     return virtual_time.run(main())
 
 
 class TestParts:
     def test_an_idle_engine_costs_nothing(self):
-        assert wait_of(Places()).total_s < 0.1
+        assert estimate(AdapterSlots()).total_s < 0.1
 
-    def test_place_and_load_count(self):
-        found = wait_of(Places(0.4, 0.25))
+    def test_slot_and_load_are_counted(self):
+        found = estimate(AdapterSlots(0.4, 0.25))
         assert found.load_s == pytest.approx(0.25)
-        # A mean, counted so that most of those let in are on time.
+        # Includes the safety factor for most admitted requests to be on time.
         assert found.slot_s == pytest.approx(0.6)
 
-    def test_the_base_model_waits_for_no_place(self):
-        assert wait_of(Places(0.4, 0.25), adapter='').adapter_s == 0.0
+    def test_the_base_model_needs_no_slot(self):
+        assert estimate(AdapterSlots(0.4, 0.25), adapter='').adapter_s == 0.0
 
-    def test_a_turn_is_waited_for_beside_the_adapter(self):
-        found = wait_of(Places(0.0, 0.25), batch=Batch(0.6))
+    def test_turn_wait_overlaps_the_adapter_wait(self):
+        found = estimate(AdapterSlots(0.0, 0.25), batch=FreeBatch(0.6))
         assert found.turn_s == pytest.approx(0.35)
         assert found.total_s == pytest.approx(0.6)
 
-    def test_prompts_are_read_while_the_adapter_comes(self):
-        alone = wait_of(Places(), MANY_TOKENS).prompt_s
-        beside = wait_of(Places(0.2, 0.2), MANY_TOKENS).prompt_s
+    def test_prompts_are_read_while_the_adapter_loads(self):
+        alone = estimate(AdapterSlots(), MANY_TOKENS).prompt_s
+        beside = estimate(AdapterSlots(0.2, 0.2), MANY_TOKENS).prompt_s
         assert alone > 0.5
         assert beside == pytest.approx(alone - 0.5)
 
@@ -81,7 +85,7 @@
     REQUEST_COUNT = 400
 
     def play(self, seed):
-        """Return what the turns waited that were granted."""
+        """Return the waits of the granted turns."""
         limits = routing.EngineLimits(64, 6, (fake_engine.MODEL,))
         source = random.Random(seed)
         found = []
@@ -91,13 +95,16 @@
                 await asyncio.sleep(number * 0.07)
                 name = f'r{number}'
                 adapter = f'a{int(source.paretovariate(0.5)) % 40}'
-                # A short class, and one that lasts seven times as long;
-                # callers know the length within a half.
+                # Short runs, and some that last seven times as long; callers
+                # declare the length with an error of up to a half or so.
                 run_s, tokens = (1.7, 170) if number % 5 == 0 else (0.25, 24)
-                told = int(tokens * source.uniform(0.5, 1.7))
+                declared_tokens = int(tokens * source.uniform(0.5, 1.7))
                 started_s = scene.clock.monotonic_s()
                 reply = await scene.ask(
-                    name, adapter=adapter, wait_ms=3000, expected_tokens=told
+                    name,
+                    adapter=adapter,
+                    wait_ms=3000,
+                    expected_tokens=declared_tokens,
                 )
                 if reply.refusal is None:
                     found.append(scene.clock.monotonic_s() - started_s)
@@ -112,8 +119,8 @@
         return found
 
     @pytest.mark.parametrize('seed', [5, 6, 7])
-    def test_who_is_let_in_is_on_time(self, seed):
-        """Guards against requests let in that wait too long for a place."""
+    def test_admitted_requests_are_on_time(self, seed):
+        """Guards against admitting requests that wait too long for a slot."""
         waits_s = self.play(seed)
         late = sum(wait_s > 0.75 for wait_s in waits_s)
         assert late / len(waits_s) < 0.1
