--- a/lacewingpitch/admission.py
+++ b/lacewingpitch/admission.py
@@ -50,7 +50,7 @@
         ...
 
     @property
-    def start_left_s(self) -> float:
+    def remaining_start_s(self) -> float:
         """Return when an engine that starts is expected to serve."""
         ...
 
@@ -95,7 +95,7 @@
         if awaiting_count >= _MAX_AWAITING_START:
             return False
         left_s = request.start_within_ms / _MS_PER_S
-        return self._engine.start_left_s < left_s
+        return self._engine.remaining_start_s < left_s
 
     def refusal(
         self,
--- a/lacewingpitch/engine_controller.py
+++ b/lacewingpitch/engine_controller.py
@@ -390,12 +390,12 @@
             for key, version in snapshot.held.items()
         }
         for name in adapters.adapters:
-            if name not in held and self.view.is_shown(name):
+            if name not in held and self.view.is_confirmed(name):
                 adapters.remove(name)
         unknown = [
             name
             for name in held
-            if not adapters.has_slot(name) and self.view.is_shown(name)
+            if not adapters.has_slot(name) and self.view.is_confirmed(name)
         ]
         if unknown:
             self._adopted_runs |= snapshot.run_ids
--- a/lacewingpitch/engine_orders.py
+++ b/lacewingpitch/engine_orders.py
@@ -1,4 +1,7 @@
-"""Orders to an engine, and those that its reports may not show yet."""
+"""Orders to an engine, and those that its last report may not show.
+
+An order is a command that changes which model or adapters an engine holds.
+"""
 
 import dataclasses
 import enum
@@ -9,7 +12,7 @@
 
 
 class OrderResult(enum.Enum):
-    """What an engine answered to an order."""
+    """Answer of an engine to an order."""
 
     ACCEPTED = enum.auto()
     DONE = enum.auto()
@@ -20,12 +23,12 @@
 
 
 class EngineOrders(Protocol):
-    """The calls that change what an engine holds."""
+    """Client for the calls that change what an engine holds."""
 
     async def load_model(
         self, model: str, fencing: int, incarnation: str
     ) -> OrderResult:
-        """Order a model to be loaded."""
+        """Order the engine to load a model."""
         ...
 
     async def load(
@@ -36,63 +39,63 @@
         fencing: int,
         incarnation: str,
     ) -> OrderResult:
-        """Order an adapter to be loaded; version 0 is the newest."""
+        """Order the engine to load an adapter; version 0 is the newest."""
         ...
 
     async def unload(
         self, model: str, adapter: str, fencing: int, incarnation: str
     ) -> OrderResult:
-        """Order an adapter that nothing uses to be unloaded."""
+        """Order the engine to unload an adapter that is not in use."""
         ...
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class LoadOrder:
-    """A load that takes a slot, whether or not a report shows it.
+    """A load that occupies a slot, whether or not a report shows it.
 
     Parameters
     ----------
     key
         MODEL/ADAPTER.
-    settled_at_s
-        When it was answered, or its answer was lost; infinite before.
+    finished_at_s
+        When it was answered, or its answer was lost; infinite until then.
     """
 
     key: str
-    settled_at_s: float = math.inf
+    finished_at_s: float = math.inf
 
 
-class OpenOrders:
-    """The orders about adapters that the last report may not show.
+class UnconfirmedOrders:
+    """Adapter orders that the last report may not show.
 
-    Guards against an engine that is ordered to hold one adapter more than it
-    has slots: it crashes, with all its runs.  A report that is older than
-    an order says nothing about it, and neither does a lost answer.
+    Guards against ordering an engine to hold more adapters than it has
+    slots, at which it crashes with all its runs.  Neither a report that is
+    older than an order nor a lost answer shows whether it was carried out.
     """
 
     def __init__(self) -> None:
         self._loads: list[LoadOrder] = []
-        # By MODEL/ADAPTER, when they were answered.
-        self._unloads_at_s: dict[str, float] = {}
+        # Times at which unloads were answered, by MODEL/ADAPTER.
+        self._unloaded_at_s: dict[str, float] = {}
 
-    def is_open(self, key: str) -> bool:
-        """Whether the last report may be older than an order for a key."""
-        return key in self._unloads_at_s or key in self._load_keys()
+    def has_unconfirmed(self, key: str) -> bool:
+        """Whether the last report may be older than an order for the key."""
+        return key in self._unloaded_at_s or key in self._load_keys()
 
-    def taken(
+    def occupied_slots(
         self, snapshot: engine_snapshot.EngineSnapshot | None
     ) -> set[str]:
-        """Return the adapters that take a slot, or may do.
+        """Return the adapters that occupy a slot, or may do so.
 
         Parameters
         ----------
         snapshot
-            The last report, if there is one of this start.
+            The last report of the current start; None before the first.
         """
         if snapshot is None:
             return self._load_keys()
         shown = set(snapshot.held) | set(snapshot.pending)
-        return (shown - set(self._unloads_at_s)) | self._load_keys()
+        return (shown - set(self._unloaded_at_s)) | self._load_keys()
 
     def begin_load(self, key: str) -> LoadOrder:
         """Reserve a slot for a load that is about to be ordered."""
@@ -100,32 +103,34 @@
         self._loads.append(order)
         return order
 
-    def settle_load(self, order: LoadOrder, now_s: float) -> None:
-        """Take note that a load was answered, or its answer was lost."""
-        order.settled_at_s = now_s
-        self._unloads_at_s.pop(order.key, None)
+    def finish_load(self, order: LoadOrder, now_s: float) -> None:
+        """Record that a load was answered, or its answer was lost."""
+        order.finished_at_s = now_s
+        self._unloaded_at_s.pop(order.key, None)
 
-    def note_unload(self, key: str, now_s: float) -> None:
-        """Take note that an unload was answered as done."""
-        self._unloads_at_s[key] = now_s
+    def record_unload(self, key: str, now_s: float) -> None:
+        """Record that an unload is completed."""
+        self._unloaded_at_s[key] = now_s
 
     def restart(self) -> None:
-        """Forget the unloads of the last start.
+        """Discard the unloads of the previous start.
 
-        Loads that are on their way still take a slot: under one name, an
-        order that was meant for the last start may be taken by this one.
+        Loads in flight still occupy a slot: if the engine restarted under
+        the same name, it may accept an order meant for its previous start.
         """
-        self._unloads_at_s.clear()
+        self._unloaded_at_s.clear()
 
-    def shown(self, asked_at_s: float) -> None:
-        """Drop the orders that a report shows, by when it was asked for."""
+    def apply_report(self, polled_at_s: float) -> None:
+        """Discard the orders that a report requested at a time must show."""
         self._loads = [
-            order for order in self._loads if order.settled_at_s >= asked_at_s
+            order
+            for order in self._loads
+            if order.finished_at_s >= polled_at_s
         ]
-        self._unloads_at_s = {
+        self._unloaded_at_s = {
             key: at_s
-            for key, at_s in self._unloads_at_s.items()
-            if at_s >= asked_at_s
+            for key, at_s in self._unloaded_at_s.items()
+            if at_s >= polled_at_s
         }
 
     def _load_keys(self) -> set[str]:
--- a/lacewingpitch/engine_snapshot.py
+++ b/lacewingpitch/engine_snapshot.py
@@ -1,4 +1,4 @@
-"""What an engine says of itself."""
+"""Snapshot of an engine's state, as the engine reports it."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -6,26 +6,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSnapshot:
-    """What an engine says of itself, read from its own instance.
+    """State of an engine, read from its own instance.
 
     Parameters
     ----------
     order_count
-        Orders that it has taken since its start.
+        Orders that the engine has accepted since its start.
     is_busy
-        Whether it carries out an order about a model.
+        Whether the engine is carrying out an order about a model.
     models
         Models that it holds.
     held
         Versions of the adapters that it holds, by MODEL/ADAPTER.
     pending
-        The same of those that are on their way to it.
+        Versions of the adapters that it is loading, by MODEL/ADAPTER.
     run_ids
-        Runs that it works on.
+        Runs in progress.
     queued
-        Requests that it has accepted and not begun.
+        Requests that it has accepted and not started.
     started_at_ms
-        Unix time of its start; 0 if it does not say.
+        Unix time of its start; 0 if unknown.
     """
 
     order_count: int
--- a/lacewingpitch/engine_view.py
+++ b/lacewingpitch/engine_view.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of its engine, and the orders it gives."""
+"""Last reported state of an engine, and the orders sent to it."""
 
 import asyncio
 import math
@@ -13,31 +13,32 @@
 from lacewingpitch import errors
 from lacewingpitch import fence as fence_module
 
-# Without a report for so long, the engine counts as down: three reports
-# in a row are missing.
+# An engine without a report for this long counts as down: three consecutive
+# reports are missing.
 _DOWN_AFTER_S = 1.0
-# An engine that starts again loads its base model from its own disk.
-_START_S = 1.5
-# From the store it takes longer, the more so where many load.  After this
-# an engine without a model counts as down: nobody waits for it.
-_MAX_START_S = 6.0
-# What is left of a start that takes longer than expected.
-_LEAST_START_S = 0.2
-# A load takes longer where more are under way than the store bears, and
-# where a replacement waits for its runs; after this it counts as failed.
+# A restarting engine loads its base model from its own disk.
+_EXPECTED_START_S = 1.5
+# A load from the weight store takes longer, especially while many engines
+# load.  After this time an engine without a model counts as down, and no
+# request waits for it.
+_MAX_MODEL_LOAD_S = 6.0
+# Expected remainder of a start that is overdue.
+_MIN_REMAINING_START_S = 0.2
+# A load is slow while the weight store is overloaded, or while the adapter
+# that it replaces still has runs.  After this time it counts as failed.
 _LOAD_TIMEOUT_S = 6.0
-# An unload waits for the runs whose caller has left to end.
+# An unload waits for runs of disconnected callers to end.
 _UNLOAD_TIMEOUT_S = 1.0
-_ORDER_TRIES = 4
-_ORDER_PAUSE_S = 0.05
+_ORDER_ATTEMPTS = 4
+_ORDER_RETRY_DELAY_S = 0.05
 log = structlog.get_logger(__name__)
 
 
 class EngineView:
-    """The engine beside this process, as last reported.
+    """Last reported state of the local engine, and orders to it.
 
     It is the `engine.AdapterHost` of `slots.AdapterSlots`: an order is
-    given and then waited for until a report shows it done.
+    complete when a report shows its result.
     """
 
     def __init__(
@@ -52,20 +53,20 @@
         self._versions = versions
         self._clock = clock
         self._snapshot: engine_snapshot.EngineSnapshot | None = None
-        self._asked_at_s = -math.inf
+        self._polled_at_s = -math.inf
         self._reported_at_s = 0.0
-        # When it was first seen without a model; None while it has one.
-        self._empty_since_s: float | None = None
-        self._open_orders = engine_orders.OpenOrders()
-        self._news = asyncio.Event()
-        # The engine's incarnation; empty if it is not known.
+        # When a report first showed no model; None while there is one.
+        self._without_model_since_s: float | None = None
+        self._unconfirmed_orders = engine_orders.UnconfirmedOrders()
+        self._report_received = asyncio.Event()
+        # The engine's incarnation; empty if unknown.
         self.backend_server = ''
-        # Unix time of its start; 0 if it does not say.
+        # Unix time of the engine's start; 0 if unknown.
         self.started_at_ms = 0
-        # Starts that were met; orders of one say nothing about the next.
+        # Starts of the engine so far; orders apply to one start only.
         self._start_count = 0
         self.loading_count = 0
-        # Adapters that the engine can hold; it crashes at one more.
+        # Adapters that the engine can hold; it crashes beyond them.
         self.slot_count = 0
 
     @property
@@ -74,143 +75,148 @@
         return self._snapshot
 
     def is_restart(self, snapshot: engine_snapshot.EngineSnapshot) -> bool:
-        """Whether a report can only be that of another start.
+        """Whether a report shows that the engine has restarted.
 
-        An engine may start again under its name, and between two reports.
+        An engine may restart under the same name, and between two reports.
         """
-        before = self._snapshot
-        if before is None:
+        previous = self._snapshot
+        if previous is None:
             return False
-        if snapshot.started_at_ms != before.started_at_ms:
-            return snapshot.started_at_ms > before.started_at_ms
-        return snapshot.order_count < before.order_count
+        if snapshot.started_at_ms != previous.started_at_ms:
+            return snapshot.started_at_ms > previous.started_at_ms
+        return snapshot.order_count < previous.order_count
 
     def is_outdated(self, snapshot: engine_snapshot.EngineSnapshot) -> bool:
-        """Whether a report is of a start before the last known one."""
+        """Whether a report is of an earlier start than the known one."""
         return snapshot.started_at_ms < self.started_at_ms
 
     @property
     def report_age_s(self) -> float:
-        """Return how old the last report is."""
+        """Return the age of the last report."""
         return self._clock.monotonic_s() - self._reported_at_s
 
     @property
     def is_serving(self) -> bool:
-        """Whether the engine is up with a model, and not about to leave."""
-        found = self._fresh
+        """Whether the engine is up with a model, and not leaving."""
+        snapshot = self._current
         return (
-            found is not None and not found.is_leaving and bool(found.models)
+            snapshot is not None
+            and not snapshot.is_leaving
+            and bool(snapshot.models)
         )
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the engine is up, and about to leave."""
-        found = self._fresh
-        return found is not None and found.is_leaving
+        """Whether the engine is up, and leaving."""
+        snapshot = self._current
+        return snapshot is not None and snapshot.is_leaving
 
     @property
     def is_starting(self) -> bool:
-        """Whether the engine is up, and is to serve within seconds."""
-        found = self._fresh
+        """Whether the engine is up, and expected to serve within seconds."""
+        snapshot = self._current
         return (
-            found is not None
-            and not found.is_leaving
-            and not found.models
-            and self._starting_for_s < _MAX_START_S
+            snapshot is not None
+            and not snapshot.is_leaving
+            and not snapshot.models
+            and self._without_model_for_s < _MAX_MODEL_LOAD_S
         )
 
     @property
-    def start_left_s(self) -> float:
-        """Return when an engine that starts is expected to serve."""
-        return max(_LEAST_START_S, _START_S - self._starting_for_s)
+    def remaining_start_s(self) -> float:
+        """Return the expected time until a starting engine serves."""
+        return max(
+            _MIN_REMAINING_START_S,
+            _EXPECTED_START_S - self._without_model_for_s,
+        )
 
     @property
-    def _fresh(self) -> engine_snapshot.EngineSnapshot | None:
+    def _current(self) -> engine_snapshot.EngineSnapshot | None:
         """Return the last report, unless the engine counts as down."""
         if self.report_age_s < _DOWN_AFTER_S:
             return self._snapshot
         return None
 
     @property
-    def _starting_for_s(self) -> float:
-        if self._empty_since_s is None:
+    def _without_model_for_s(self) -> float:
+        if self._without_model_since_s is None:
             return 0.0
-        return self._clock.monotonic_s() - self._empty_since_s
+        return self._clock.monotonic_s() - self._without_model_since_s
 
     async def next_report(self) -> None:
-        """Wait until the engine has reported again."""
-        await self._news.wait()
+        """Wait for the next report of the engine."""
+        await self._report_received.wait()
 
     def slot_name(self, model: str, adapter: str, version: int) -> str:
-        """Return the name under which an adapter is to be held.
+        """Return the slot name of an adapter at its required version.
 
-        The asker and this process may each know of a version that the
-        other has not heard of yet.
+        The requester and this process may each know of a newer version
+        than the other.
         """
         wanted = max(version, self._versions.required_version(model, adapter))
         return adapter_versions.slot_name(model, adapter, wanted)
 
     def held_version(self, slot_name: str) -> int:
-        """Return the version held under that name; 0 if not known."""
+        """Return the version held under a slot name; 0 if unknown."""
         if self._snapshot is None:
             return 0
-        return self._snapshot.held.get(_split(slot_name)[0], 0)
+        return self._snapshot.held.get(_split_slot_name(slot_name)[0], 0)
 
     def holds(self, slot_name: str) -> bool:
-        """Whether the last report shows the adapter, at its version."""
+        """Whether the last report shows the adapter at its version."""
         if self._snapshot is None:
             return False
-        key, version = _split(slot_name)
+        key, version = _split_slot_name(slot_name)
         held = self._snapshot.held.get(key)
         return held is not None and held >= version
 
-    def is_shown(self, slot_name: str) -> bool:
-        """Whether the last report is newer than the orders for it."""
-        key, _ = _split(slot_name)
-        return not self._open_orders.is_open(key)
+    def is_confirmed(self, slot_name: str) -> bool:
+        """Whether the last report is newer than the adapter's orders."""
+        key, _ = _split_slot_name(slot_name)
+        return not self._unconfirmed_orders.has_unconfirmed(key)
 
-    def taken(self) -> set[str]:
-        """Return the adapters that take a slot, or may do."""
-        return self._open_orders.taken(self._snapshot)
+    def occupied_slots(self) -> set[str]:
+        """Return the adapters that occupy a slot, or may do so."""
+        return self._unconfirmed_orders.occupied_slots(self._snapshot)
 
     def attach(self, incarnation: str, started_at_ms: int = 0) -> None:
-        """Take note of which start of the engine there is.
+        """Start over with a new start of the engine.
 
-        Its counts and fencing numbers start anew, also under one name.
+        Its counts and fencing tokens begin anew, even under the same name.
         """
         self.backend_server = incarnation
         self.started_at_ms = started_at_ms
         self._start_count += 1
         self._snapshot = None
-        self._empty_since_s = None
-        self._open_orders.restart()
+        self._without_model_since_s = None
+        self._unconfirmed_orders.restart()
         self._fence.apply_report(
             engine_module.EngineReport(
                 incarnation=f'{incarnation}/{self._start_count}', base_model=''
             )
         )
-        self._tell()
+        self._notify_report()
 
     def update(
-        self, snapshot: engine_snapshot.EngineSnapshot, asked_at_s: float
+        self, snapshot: engine_snapshot.EngineSnapshot, polled_at_s: float
     ) -> None:
-        """Take over a report that was asked for at some time."""
+        """Apply a report that was requested at `polled_at_s`."""
         self._snapshot = snapshot
-        self._asked_at_s = asked_at_s
-        self._open_orders.shown(asked_at_s)
+        self._polled_at_s = polled_at_s
+        self._unconfirmed_orders.apply_report(polled_at_s)
         self._reported_at_s = self._clock.monotonic_s()
         if snapshot.models:
-            self._empty_since_s = None
-        elif self._empty_since_s is None:
-            self._empty_since_s = self._reported_at_s
-        self._tell()
+            self._without_model_since_s = None
+        elif self._without_model_since_s is None:
+            self._without_model_since_s = self._reported_at_s
+        self._notify_report()
 
-    def _tell(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _notify_report(self) -> None:
+        self._report_received.set()
+        self._report_received = asyncio.Event()
 
     async def load_model(self, model: str) -> engine_orders.OrderResult:
-        """Order the engine to load a model, and do not wait for it."""
+        """Order the engine to load a model, without waiting for it."""
         result = await self._orders.load_model(
             model, self._fence.token, self.backend_server
         )
@@ -224,18 +230,18 @@
         Raises
         ------
         PlatformError
-            The order was refused, or not done in time.
+            The order was refused, or not carried out in time.
         """
-        key, version = _split(name)
+        key, version = _split_slot_name(name)
         incarnation, start = self.backend_server, self._start_count
         slot_count = self.slot_count
         self.loading_count += 1
         started_s = self._clock.monotonic_s()
         try:
             async with asyncio.timeout(_LOAD_TIMEOUT_S):
-                order = await self._until_room(key, slot_count, start)
-                await self._give_load(order, version, incarnation)
-                await self._until_held(name, start)
+                order = await self._reserve_slot(key, slot_count, start)
+                await self._order_load(order, version, incarnation)
+                await self._wait_until_held(name, start)
         except TimeoutError as error:
             raise errors.PlatformError(
                 f'{name} not loaded within {_LOAD_TIMEOUT_S:g} s'
@@ -257,32 +263,34 @@
         PlatformError
             The order was refused, or its answer was lost.
         """
-        key, _ = _split(name)
+        key, _ = _split_slot_name(name)
         model, _, adapter = key.partition('/')
         incarnation, start = self.backend_server, self._start_count
-        for _ in range(_ORDER_TRIES):
+        for _ in range(_ORDER_ATTEMPTS):
             result = await self._orders.unload(
                 model, adapter, self._fence.token, incarnation
             )
-            # What the last start answered says nothing about this one,
-            # which may hold the adapter.
-            self._check_start(start)
+            # The answer of a previous start doesn't apply to this one, which
+            # may hold the adapter.
+            self._check_same_start(start)
             if result is engine_orders.OrderResult.ACCEPTED:
-                await self._until_gone(key, start)
+                await self._wait_until_unloaded(key, start)
                 result = engine_orders.OrderResult.DONE
             if result is engine_orders.OrderResult.DONE:
-                self._open_orders.note_unload(key, self._clock.monotonic_s())
+                self._unconfirmed_orders.record_unload(
+                    key, self._clock.monotonic_s()
+                )
                 log.info('adapter unloaded', adapter=name)
                 return
-            await self._prepare_again(result)
+            await self._prepare_retry(result)
         raise errors.PlatformError(f'unloading {name}: {result.name}')
 
-    async def _give_load(
+    async def _order_load(
         self, order: engine_orders.LoadOrder, version: int, incarnation: str
     ) -> None:
         model, _, adapter = order.key.partition('/')
-        # The engine is busy while it takes as many adapters as it can;
-        # the caller limits how long that is waited for.
+        # The engine is busy while it loads as many adapters as it can; the
+        # caller's timeout bounds the wait.
         try:
             while True:
                 result = await self._orders.load(
@@ -293,63 +301,67 @@
                     engine_orders.OrderResult.DONE,
                 ):
                     return
-                await self._prepare_again(result)
+                await self._prepare_retry(result)
         finally:
-            # An order whose answer is lost may have been taken.  Until the
-            # last one is answered, its place stays reserved: a report that
-            # comes while the engine is busy shows nothing of it, another
-            # load would take the place, and the engine crash at the next
-            # try.
-            self._open_orders.settle_load(order, self._clock.monotonic_s())
-
-    async def _until_room(
+            # The engine may have accepted an order whose answer is lost.
+            # The slot stays reserved until the last attempt is answered: a
+            # report while the engine is busy doesn't show the load, another
+            # load would get the slot, and the next attempt would crash the
+            # engine.
+            self._unconfirmed_orders.finish_load(
+                order, self._clock.monotonic_s()
+            )
+
+    async def _reserve_slot(
         self, key: str, slot_count: int, start: int
     ) -> engine_orders.LoadOrder:
-        # Whoever orders counts slots as well, but a load whose answer was
-        # lost, or that took too long, may still come.  An engine that is
+        # The caller counts slots as well, but a load whose answer was lost,
+        # or that timed out, may still be carried out.  An engine that is
         # ordered to hold one adapter too many crashes, with all its runs.
-        while len(self.taken() | {key}) > slot_count:
+        while len(self.occupied_slots() | {key}) > slot_count:
             log.warning(
-                'no slot for a load', adapter=key, taken=len(self.taken())
+                'no slot for a load',
+                adapter=key,
+                taken=len(self.occupied_slots()),
             )
-            await self._next_report(start)
-        # Another load must not take the same room before this is ordered.
-        return self._open_orders.begin_load(key)
+            await self._next_report_of(start)
+        # No other load may get the same slot before this one is ordered.
+        return self._unconfirmed_orders.begin_load(key)
 
-    async def _next_report(self, start: int) -> None:
+    async def _next_report_of(self, start: int) -> None:
         await self.next_report()
-        self._check_start(start)
+        self._check_same_start(start)
 
-    def _check_start(self, start: int) -> None:
+    def _check_same_start(self, start: int) -> None:
         if self._start_count != start:
             raise errors.PlatformError('the engine has restarted')
 
-    async def _prepare_again(self, result: engine_orders.OrderResult) -> None:
+    async def _prepare_retry(self, result: engine_orders.OrderResult) -> None:
         if result is engine_orders.OrderResult.FENCED:
             self._fence.raise_token()
             log.info('fencing number raised', number=self._fence.token)
             return
         if result is engine_orders.OrderResult.BUSY:
-            await asyncio.sleep(_ORDER_PAUSE_S)
+            await asyncio.sleep(_ORDER_RETRY_DELAY_S)
             return
         raise errors.PlatformError(f'order answered {result.name}')
 
-    async def _until_held(self, name: str, start: int) -> None:
-        # A report that was asked for before the order may show the
-        # adapter as it was before it was unloaded.
-        while not (self.is_shown(name) and self.holds(name)):
-            await self._next_report(start)
-
-    async def _until_gone(self, key: str, start: int) -> None:
-        # A caller that has left frees its turn before the engine stops
-        # its run.  The order is then accepted and carried out when the
-        # run has ended; a load that came before would be one too many,
-        # and an engine that is given one too many crashes.
+    async def _wait_until_held(self, name: str, start: int) -> None:
+        # A report that was requested before the order may show the adapter
+        # as it was before an unload.
+        while not (self.is_confirmed(name) and self.holds(name)):
+            await self._next_report_of(start)
+
+    async def _wait_until_unloaded(self, key: str, start: int) -> None:
+        # A disconnected caller frees its turn before the engine stops its
+        # run.  The engine then accepts the unload and carries it out when
+        # the run has ended.  A load before that would exceed the engine's
+        # capacity, and the engine would crash.
         self.loading_count += 1
         try:
             async with asyncio.timeout(_UNLOAD_TIMEOUT_S):
-                while key in self.taken():
-                    await self._next_report(start)
+                while key in self.occupied_slots():
+                    await self._next_report_of(start)
         except TimeoutError as error:
             raise errors.PlatformError(
                 f'{key} still in use after {_UNLOAD_TIMEOUT_S:g} s'
@@ -358,7 +370,7 @@
             self.loading_count -= 1
 
 
-def _split(slot_name: str) -> tuple[str, int]:
-    """Return MODEL/ADAPTER and the version that is wanted."""
+def _split_slot_name(slot_name: str) -> tuple[str, int]:
+    """Return MODEL/ADAPTER and the required version of a slot name."""
     key, _, version = slot_name.partition('@')
     return key, int(version) if version else 0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -33,7 +33,7 @@
     is_serving: bool = True
     is_leaving: bool = False
     is_starting: bool = False
-    start_left_s: float = 1.0
+    remaining_start_s: float = 1.0
 
 
 def request(**fields):
--- a/tests/test_engine_view.py
+++ b/tests/test_engine_view.py
@@ -132,7 +132,7 @@
             scene.view.attach('i-2')
             with pytest.raises(errors.PlatformError):
                 await load
-            assert scene.view.taken() == set()
+            assert scene.view.occupied_slots() == set()
 
         play(story)
 
