--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -27,9 +27,9 @@
 )
 
 
-def make_order(held=lambda _order: True, clock=None):
+def make_queue(is_held=lambda _order: True, clock=None):
     return fair_queue.FairQueue(
-        1, held, clock or clocks.ManualClock(), LEADS_S, HELD_LEAD_S
+        1, is_held, clock or clocks.ManualClock(), LEADS_S, HELD_LEAD_S
     )
 
 
@@ -52,10 +52,10 @@
     )
 
 
-def serve(order, used_s=None):
-    """Give the next place, and end its turn at once."""
-    waiter = order.pop()
-    order.finish(waiter, waiter.cost_s if used_s is None else used_s)
+def serve(queue, used_s=None):
+    """Pop the next request, and finish its turn at once."""
+    waiter = queue.pop()
+    queue.finish(waiter, waiter.cost_s if used_s is None else used_s)
     return waiter
 
 
@@ -69,26 +69,26 @@
             max_size=60,
         ),
     )
-    def test_are_the_weights_within_the_bound(self, customers, steps):
-        """Bound per pair: the leads and one request of each.
+    def test_shares_follow_the_weights_within_a_bound(self, customers, steps):
+        """The bound for a pair is the leads plus one request of each.
 
-        Whatever turns really took is charged in the end, so that wrong
-        estimates move the shares by no more.
+        The actual duration of turns is charged in the end, so that wrong
+        estimates shift the shares by no more than that.
         """
         holds = [True]
-        order = make_order(lambda _order: holds[0])
+        queue = make_queue(lambda _order: holds[0])
         used_s = collections.Counter()
 
         def add(number, cost_s):
             weight, urgency = customers[number]
-            order.add(make_waiter(str(number), cost_s, weight, urgency))
+            queue.add(make_waiter(str(number), cost_s, weight, urgency))
 
         for number in range(len(customers)):
             add(number, 1.0)
         longest_s = 1.0
         for cost_s, took_s, is_held in steps:
             holds[0] = is_held
-            number = int(serve(order, took_s).order.customer)
+            number = int(serve(queue, took_s).order.customer)
             used_s[number] += took_s
             add(number, cost_s)
             longest_s = max(longest_s, cost_s, took_s)
@@ -102,48 +102,48 @@
                 )
                 assert difference_s <= bound_s + 1e-6
 
-    def test_save_up_nothing_while_idle(self):
-        """A customer comes back after a night and has all the turns.
+    def test_idle_customer_accumulates_no_credit(self):
+        """Guards against a returning customer that gets all turns.
 
-        The other has used a thousand seconds meanwhile.  The cause
-        would be a share that counts from the beginning of the world.
+        The other customer has used a thousand seconds meanwhile.  It
+        happens if usage is counted from the start of the process.
         """
-        order = make_order()
-        order.add(make_waiter('busy'))
+        queue = make_queue()
+        queue.add(make_waiter('busy'))
         for _ in range(1000):
-            order.add(make_waiter('busy'))
-            serve(order)
+            queue.add(make_waiter('busy'))
+            serve(queue)
         for _ in range(20):
-            order.add(make_waiter('busy'))
-            order.add(make_waiter('back'))
-        first = [serve(order).order.customer for _ in range(20)]
+            queue.add(make_waiter('busy'))
+            queue.add(make_waiter('back'))
+        first = [serve(queue).order.customer for _ in range(20)]
         assert first.count('busy') >= 8
 
     def test_urgency_is_a_lead_and_no_larger_share(self):
-        order = make_order()
+        queue = make_queue()
         for _ in range(100):
-            order.add(make_waiter('urgent', urgency=Urgency.INTERACTIVE))
-            order.add(make_waiter('batch', urgency=Urgency.BATCH))
-        first = [serve(order).order.customer for _ in range(100)]
+            queue.add(make_waiter('urgent', urgency=Urgency.INTERACTIVE))
+            queue.add(make_waiter('batch', urgency=Urgency.BATCH))
+        first = [serve(queue).order.customer for _ in range(100)]
         assert first[:5] == ['urgent'] * 5
         assert first.count('urgent') == pytest.approx(52, abs=2)
 
-    def test_ahead_of_estimates_that_were_too_low(self):
-        """A customer with longer answers than it says has all the turns.
+    def test_underestimated_turns_are_charged_in_full(self):
+        """Guards against a customer that gains turns by low estimates.
 
-        Its turns take ten times what was expected.  The cause would be
-        shares charged by the estimate and never mended.
+        Its turns take ten times the expected time.  It happens if the
+        charge stays at the estimate.
         """
-        order = make_order()
+        queue = make_queue()
         used_s = collections.Counter()
         for _ in range(200):
-            order.add(make_waiter('long'))
-            order.add(make_waiter('honest'))
+            queue.add(make_waiter('long'))
+            queue.add(make_waiter('honest'))
         for _ in range(100):
-            waiter = order.pop()
+            waiter = queue.pop()
             customer = waiter.order.customer
             took_s = 10.0 if customer == 'long' else 1.0
-            order.finish(waiter, took_s)
+            queue.finish(waiter, took_s)
             used_s[customer] += took_s
         assert used_s['long'] / used_s['honest'] == pytest.approx(1, abs=0.2)
 
@@ -158,13 +158,13 @@
     def test_is_bounded_by_leads_and_one_request_each(
         self, customers, before, costs
     ):
-        """A batch request waits for ever behind more urgent customers.
+        """Guards against a batch request starved by urgent customers.
 
-        The others always have more to send, and find their adapters
-        held while it does not.  The cause would be an order in which
-        those who came later can go ahead without end.
+        The others always have more to send, and their adapters are held
+        while its adapter isn't.  It happens if later requests can go ahead
+        without limit.
         """
-        order = make_order(lambda found: found.customer != 'patient')
+        queue = make_queue(lambda found: found.customer != 'patient')
         sent = 0
 
         def add(number):
@@ -172,40 +172,40 @@
             weight, urgency = customers[number]
             cost_s = costs[sent % len(costs)]
             sent += 1
-            order.add(make_waiter(str(number), cost_s, weight, urgency))
+            queue.add(make_waiter(str(number), cost_s, weight, urgency))
 
         for number in range(len(customers)):
             add(number)
         for _ in range(before):
-            add(int(serve(order).order.customer))
-        order.add(make_waiter('patient', urgency=Urgency.BATCH))
+            add(int(serve(queue).order.customer))
+        queue.add(make_waiter('patient', urgency=Urgency.BATCH))
         bound_s = sum(
             weight * (LEADS_S[urgency] + HELD_LEAD_S) + max(costs)
             for weight, urgency in customers
         )
         passed_s = 0.0
         while True:
-            waiter = serve(order)
+            waiter = serve(queue)
             if waiter.order.customer == 'patient':
                 return
             passed_s += waiter.cost_s
             assert passed_s <= bound_s + 1e-6
             add(int(waiter.order.customer))
 
-    def test_ends_when_most_of_the_deadline_has_passed(self):
-        """A batch request waits behind hundreds of light customers.
+    def test_aged_request_gets_the_maximum_lead(self):
+        """Guards against a batch request starved by many light customers.
 
-        Each second another customer comes with one urgent request that
-        takes a second, so that nobody is over its share and the turns
-        are never free.  The cause would be leads that each newcomer has
-        anew.
+        Each second a new customer sends one urgent request that takes a
+        second, so that no customer is over its share and the turns are
+        never free.  It happens because each new customer gets its full
+        lead.
         """
         clock = clocks.ManualClock()
-        order = make_order(lambda found: found.path == '/hot', clock)
+        queue = make_queue(lambda found: found.path == '/hot', clock)
         waits_s = []
         for second in range(400):
             clock.now_s = float(second)
-            order.add(
+            queue.add(
                 make_waiter(
                     f'light-{second}',
                     urgency=Urgency.INTERACTIVE,
@@ -214,72 +214,73 @@
                 )
             )
             if second % 20 == 0:
-                order.add(
+                queue.add(
                     make_waiter(
                         'patient',
                         urgency=Urgency.BATCH,
                         arrived_s=clock.now_s,
                     )
                 )
-            waiter = serve(order)
+            waiter = serve(queue)
             if waiter.order.customer == 'patient':
                 waits_s.append(clock.now_s - waiter.arrived_s)
         assert len(waits_s) >= 18
         assert max(waits_s) <= 25.0
 
-    def test_is_not_what_a_flood_suffers(self):
-        """A light customer's requests are late whenever a flood ages.
+    def test_flood_gets_no_lead_by_aging(self):
+        """Guards against a flood that delays a light customer by aging.
 
-        The flood's requests wait long because it sends too many.  The
-        cause would be aging that asks for nothing but the wait.
+        The flood's requests wait long because it sends too many.  It
+        happens if aging depends on the wait alone.
         """
         clock = clocks.ManualClock()
-        order = make_order(clock=clock)
+        queue = make_queue(clock=clock)
         for _ in range(200):
-            order.add(make_waiter('flood'))
+            queue.add(make_waiter('flood'))
         waits_s = []
         for second in range(60):
             clock.now_s = float(second)
             if second % 4 == 0:
-                order.add(make_waiter('light', arrived_s=clock.now_s))
-            waiter = serve(order)
+                queue.add(make_waiter('light', arrived_s=clock.now_s))
+            waiter = serve(queue)
             if waiter.order.customer == 'light':
                 waits_s.append(clock.now_s - waiter.arrived_s)
         assert len(waits_s) == 15
         assert max(waits_s) <= 1.0
 
-    def test_of_an_adapter_that_is_never_held(self):
-        """A customer's rare adapter is never loaded beside its hot one.
+    def test_adapter_that_is_never_held_is_served(self):
+        """Guards against a rare adapter starved by a hot one.
 
-        Requests for the hot adapter keep coming and find it held.  The
-        cause would be a preference without a bound.
+        Requests of the same customer for the hot adapter keep coming and
+        find it held.  It happens if held adapters are preferred without
+        limit.
         """
-        order = make_order(lambda found: found.path == '/hot')
-        order.add(make_waiter('haneul', path='/rare'))
-        passed_count = 0
+        queue = make_queue(lambda found: found.path == '/hot')
+        queue.add(make_waiter('haneul', path='/rare'))
+        overtaken_count = 0
         for _ in range(100):
-            order.add(make_waiter('haneul', path='/hot'))
-            if serve(order).order.path == '/rare':
+            queue.add(make_waiter('haneul', path='/hot'))
+            if serve(queue).order.path == '/rare':
                 break
-            passed_count += 1
-        assert passed_count == 16
+            overtaken_count += 1
+        assert overtaken_count == 16
 
 
 class TestHeldAdapters:
-    def test_go_first_within_a_customer(self):
-        order = make_order(lambda found: found.path == '/hot')
+    def test_held_adapters_go_first_within_a_customer(self):
+        queue = make_queue(lambda found: found.path == '/hot')
         for path in ('/rare', '/hot', '/rare', '/hot'):
-            order.add(make_waiter('haneul', path=path))
-        paths = [serve(order).order.path for _ in range(4)]
+            queue.add(make_waiter('haneul', path=path))
+        paths = [serve(queue).order.path for _ in range(4)]
         assert paths == ['/hot', '/hot', '/rare', '/rare']
 
-    def test_go_first_between_customers_by_the_lead(self):
-        order = make_order(lambda found: found.path == '/hot')
+    def test_held_adapters_give_a_lead_between_customers(self):
+        queue = make_queue(lambda found: found.path == '/hot')
         for _ in range(10):
-            order.add(make_waiter('cold', path='/cold'))
+            queue.add(make_waiter('cold', path='/cold'))
         for _ in range(10):
-            order.add(make_waiter('hot', path='/hot'))
-        first = [serve(order).order.customer for _ in range(10)]
+            queue.add(make_waiter('hot', path='/hot'))
+        first = [serve(queue).order.customer for _ in range(10)]
         assert first[:2] == ['hot', 'hot']
         assert first.count('hot') == pytest.approx(6, abs=1)
 
@@ -292,35 +293,35 @@
             strategies.tuples(strategies.integers(0, 4), costs), max_size=20
         ),
     )
-    def test_is_the_order_that_comes_about(self, customers, requests):
-        order = make_order()
+    def test_forecast_matches_the_actual_order(self, customers, requests):
+        queue = make_queue()
         for number, cost_s in requests:
             weight, urgency = customers[number % len(customers)]
             customer = str(number % len(customers))
-            order.add(make_waiter(customer, cost_s, weight, urgency))
-        forecast = list(order.forecast())
-        assert forecast == [serve(order) for _ in requests]
+            queue.add(make_waiter(customer, cost_s, weight, urgency))
+        forecast = list(queue.forecast())
+        assert forecast == [serve(queue) for _ in requests]
 
-    def test_leaves_out_who_has_left(self):
-        order = make_order()
+    def test_removed_request_is_left_out(self):
+        queue = make_queue()
         waiters = [make_waiter('haneul') for _ in range(3)]
         for waiter in waiters:
-            order.add(waiter)
-        order.remove(waiters[1])
-        assert list(order.forecast()) == [waiters[0], waiters[2]]
+            queue.add(waiter)
+        queue.remove(waiters[1])
+        assert list(queue.forecast()) == [waiters[0], waiters[2]]
 
 
 class TestMemory:
-    def test_does_not_grow_with_customers_that_come_and_go(self):
-        order = make_order()
-        order.add(make_waiter('customer'))
+    def test_memory_is_bounded_as_customers_come_and_go(self):
+        queue = make_queue()
+        queue.add(make_waiter('customer'))
         for number in range(5000):
-            order.add(make_waiter(f'customer-{number}'))
-            serve(order)
-        assert len(order._shares) < 200
-
-    def test_forgets_all_when_nobody_is_there(self):
-        order = make_order()
-        order.add(make_waiter('haneul', cost_s=1000.0))
-        serve(order)
-        assert not order._shares
+            queue.add(make_waiter(f'customer-{number}'))
+            serve(queue)
+        assert len(queue._flows) < 200
+
+    def test_usage_is_discarded_when_the_queue_is_idle(self):
+        queue = make_queue()
+        queue.add(make_waiter('haneul', cost_s=1000.0))
+        serve(queue)
+        assert not queue._flows
