--- a/lacewingpitch/engine_controller.py
+++ b/lacewingpitch/engine_controller.py
@@ -318,7 +318,7 @@
             self._clock,
             lambda order: _expected_adapter_wait_s(adapters, order),
         )
-        record = turn_metrics.TurnMetrics(queue, self._metrics)
+        outcomes = turn_metrics.TurnMetrics(queue, self._metrics)
         self.granter = turn_granter.TurnGranter(
             queue,
             adapters,
@@ -327,11 +327,11 @@
             self._clock,
             lambda: self._table.version,
             random.Random(),
-            record,
+            outcomes,
             self._crashes,
         )
         self._is_ready.set()
-        self._add_metrics(self.granter, record, adapters)
+        self._add_metrics(self.granter, outcomes, adapters)
         log.info(
             'engine taken over',
             backend_server=self.view.backend_server,
@@ -343,7 +343,7 @@
     def _add_metrics(
         self,
         granter: turn_granter.TurnGranter,
-        record: turn_metrics.TurnMetrics,
+        outcomes: turn_metrics.TurnMetrics,
         adapters: slots_module.AdapterSlots,
     ) -> None:
         metrics = self._metrics
@@ -352,9 +352,9 @@
             'Turns that were asked for, by what became of them.',
             'outcome',
             lambda: {
-                'granted': record.granted_count,
-                'refused': record.refused_count,
-                'lapsed': record.lapsed_count,
+                'granted': outcomes.granted_count,
+                'refused': outcomes.refused_count,
+                'lapsed': outcomes.lapsed_count,
             },
         )
         metrics.counter_by(
--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -74,7 +74,7 @@
     ----------
     configuration_version
         Returns the configuration version in force in this process.
-    record
+    outcomes
         Logs and counts the outcomes of turns.
     """
 
@@ -87,10 +87,10 @@
         clock: clock_module.Clock,
         configuration_version: Callable[[], int],
         source: random.Random,
-        record: turn_metrics.TurnMetrics,
+        outcomes: turn_metrics.TurnMetrics,
         crashes: crash_record.CrashRecord,
     ) -> None:
-        self._record = record
+        self._outcomes = outcomes
         self._isolation = isolation.Isolation(crashes)
         self._queue = queue
         self._adapters = adapters
@@ -183,7 +183,7 @@
             if now_s >= turn.until_s or (
                 not is_queueing and turn.is_missing(polled_at_s)
             ):
-                self._record.lapsed(turn, now_s)
+                self._outcomes.record_lapsed(turn, now_s)
                 await self._end(turn_id)
 
     async def end_all(self) -> None:
@@ -263,7 +263,7 @@
         turn.granted_at_s = self._clock.monotonic_s()
         name = self._slot_name(request)
         version = self._engine.held_version(name) if name else 0
-        self._record.granted(turn, name, version)
+        self._outcomes.record_granted(turn, name, version)
         return self._reply(version=version)
 
     async def _acquire_resources(self, turn: turn_lease.TurnLease) -> None:
@@ -365,7 +365,7 @@
         wait_s: float = 0.0,
         is_above_share: bool = False,
     ) -> turn_messages.TurnReply:
-        self._record.refused(request, error, is_above_share)
+        self._outcomes.record_refused(request, error, is_above_share)
         return self._reply(
             refusal=error.kind,
             detail=error.detail,
--- a/lacewingpitch/turn_messages.py
+++ b/lacewingpitch/turn_messages.py
@@ -1,9 +1,12 @@
-"""What an entry asks of a sidecar before it sends a request to its engine.
+"""Control messages between entries and sidecars about turns.
 
-The sidecar grants: it alone orders its engine and reads the engine's
-state without delay.  The entry carries: the bytes of requests and
-answers pass between it and the engine, so that the loss of a sidecar
-cuts no answer.
+A turn is a lease on one of a backend server's concurrent execution slots.
+The sidecar grants turns: it alone sends orders to its engine and reads the
+engine's state without delay.  The entry forwards requests: their bytes and
+those of the answers pass between it and the engine, so that the loss of a
+sidecar interrupts no answer.
+
+The messages that distribute the configuration are here as well.
 """
 
 from lacewingpitch import errors
@@ -13,57 +16,57 @@
 
 
 class TurnRequest(link.Message, frozen=True):
-    """Asks for a turn at an engine, with an adapter.
+    """Requests a turn at an engine, with an adapter.
 
-    Asking again with the same id is idempotent: it returns the turn
-    that was granted, or goes on waiting for it.
+    A repeated request with the same turn id is idempotent: it returns the
+    granted turn, or continues to wait for it.
 
     Parameters
     ----------
     entry
-        Instance that asks.
+        Instance of the entry that sends the request.
     turn_id
-        Names one attempt of one request.
+        Identifies one attempt of one request.
     run_id
-        Name under which the engine will know the run.
+        Name of the run at the engine.
     adapter
-        Adapter's name; empty for the base model alone.
+        Name of the adapter; empty for the base model alone.
     version
-        Lowest version that the asker knows to be wanted; 0 for any.
+        Lowest version that the requester requires; 0 for any.
     route
         Route of the request; turns are shared between routes.
     rank
-        The route's urgency; 0 is the most urgent.
+        Urgency of the route; 0 is the most urgent.
     prompt_tokens
-        Tokens of the prompt; 0 if not known.
+        Number of tokens of the prompt; 0 if unknown.
     max_tokens
-        Most tokens that the answer can have; 0 if not known.
+        Maximum number of tokens of the answer; 0 if unknown.
     expected_tokens
-        Tokens that the caller expects of the answer; 0 if not known.
+        Number of tokens that the caller expects; 0 if unknown.
     wait_ms
-        How long the reply may stay away before it says `is_pending`.
+        Time after which the reply says `is_pending` at the latest.
     start_within_ms
-        Time left in which the turn is of use.
+        Time left until a turn is of no use any more.
     target_ms
-        Time left until the first event is late; negative if it is.
+        Time left until the first event is late; negative if it is late.
     deadline_ms
         Time left until the request's final answer is due.
     waits_for_engine
-        Whether to wait for an engine that loads its base model, since
+        Whether to wait for an engine that loads its base model, because
         no other engine serves.
     accept_within_ms
-        Longest wait with which the turn is wanted here, since another
-        engine may be sooner; 0 for any with which it is on time.
+        Longest acceptable wait, because another engine may be sooner; 0
+        for any wait that meets the target.
     organisation
-        Whose request it is; empty if nobody's.
+        Organisation that sends the request; empty if none.
     weight
-        Share of its organisation where organisations compete.
+        Weight of the organisation relative to others.
     fingerprint
-        Of the request; see `request_fingerprint`.
+        Fingerprint of the request; see `request_fingerprint`.
     is_isolated
-        Whether it is to run alone among suspect requests.
+        Whether it must run as the only suspect request.
     suspects
-        What the entry knows of suspect requests.
+        The entry's updates about suspect requests.
     """
 
     entry: str
@@ -91,36 +94,35 @@
 
     @property
     def flow(self) -> str:
-        """Return the name of those with which it shares its turns."""
+        """Return the flow of weighted fair queueing that it belongs to."""
         if not self.organisation:
             return self.route
         return f'{self.organisation}/{self.route}'
 
 
 class TurnReply(link.Message, frozen=True):
-    """Grants a turn, refuses it, or says that it is still waited for.
+    """Grants or refuses a turn, or says that it is still pending.
 
     Parameters
     ----------
     backend_server
-        Incarnation of the engine that the turn is for; empty if it is
-        not known.
+        Incarnation of the engine that the turn is for; empty if unknown.
     version
-        Version of the adapter that the engine holds; 0 if not known.
+        Version of the adapter that the engine holds; 0 if unknown.
     refusal
-        Why there is no turn; empty if there is one.
+        Reason of the refusal; None if there is none.
     started_at_ms
-        Unix time of the engine's start; 0 if it does not say.
+        Unix time of the engine's start; 0 if unknown.
     configuration_version
-        Version of the configuration that the sidecar has in force.
+        Version of the configuration in force at the sidecar.
     entry_count
-        Entries that have asked this sidecar of late.
+        Entries that have recently sent requests to this sidecar.
     hint
-        State of the engine.
+        Load report of the engine.
     wait_ms
-        What a turn that is refused would have waited; 0 if not known.
+        Expected wait of a refused turn; 0 if unknown.
     suspects
-        What the sidecar knows of suspect requests.
+        The sidecar's updates about suspect requests.
     """
 
     backend_server: str = ''
@@ -138,12 +140,12 @@
 
 
 class TurnEnds(link.Message, frozen=True):
-    """Says that turns have ended, or are not wanted any more.
+    """Ends turns that are finished or no longer needed.
 
     Parameters
     ----------
     asks_state
-        Whether to look at the engine, since answers broke off.
+        Whether to poll the engine, because answers were interrupted.
     """
 
     turn_ids: tuple[str, ...]
@@ -156,13 +158,14 @@
     Parameters
     ----------
     is_known
-        Whether the engine was looked at; the rest says nothing otherwise.
+        Whether the engine was polled; the other fields are valid only
+        then.
     is_running
-        Whether it could be reached.
+        Whether the engine could be reached.
     backend_server
-        Its incarnation then.
+        Incarnation of the engine.
     started_at_ms
-        Unix time of its start; 0 if it does not say.
+        Unix time of the engine's start; 0 if unknown.
     """
 
     is_known: bool = False
@@ -172,7 +175,7 @@
 
 
 class ConfigurationRequest(link.Message, frozen=True):
-    """Asks for the configuration, if newer than a version."""
+    """Requests the configuration if it is newer than a version."""
 
     above_version: int
 
@@ -184,7 +187,7 @@
 
 
 class ConfigurationOffer(link.Message, frozen=True):
-    """Brings the configuration to a process that has an older one."""
+    """Sends the configuration to a process with an older version."""
 
     content: bytes
 
--- a/lacewingpitch/turn_metrics.py
+++ b/lacewingpitch/turn_metrics.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of the turns at one engine."""
+"""Logs and metrics of the turns at one engine."""
 
 import structlog
 
@@ -14,7 +14,7 @@
 
 
 class TurnMetrics:
-    """Logs and counts what becomes of turns."""
+    """Logs and counts the outcomes of turns."""
 
     def __init__(
         self, queue: turn_queue.TurnQueue, metrics: metrics_module.Metrics
@@ -31,18 +31,18 @@
         self.refused_count = 0
         self.lapsed_count = 0
 
-    def granted(
+    def record_granted(
         self, turn: turn_lease.TurnLease, adapter: str, version: int
     ) -> None:
-        """Take note of a turn that is granted now."""
+        """Record a turn that is granted now."""
         assert turn.granted_at_s is not None
         self.granted_count += 1
         request = turn.request
-        expected = turn.wait_estimate
+        estimate = turn.wait_estimate
         waited_s = turn.granted_at_s - turn.requested_at_s
         waits_ms = turn.waits_ms(turn.granted_at_s)
         self._wait_times.observe('route', request.route, waited_s)
-        self._note_errors(expected, waits_ms)
+        self._observe_errors(estimate, waits_ms)
         log.info(
             'turn granted',
             request_id=request.run_id,
@@ -53,22 +53,22 @@
             prompt_tokens=request.prompt_tokens,
             expected_tokens=request.expected_tokens,
             waited_ms=round(waited_s * _MS_PER_S),
-            expected_ms=round(expected.total_s * _MS_PER_S),
-            expected_place_ms=round(expected.slot_s * _MS_PER_S),
-            expected_load_ms=round(expected.load_s * _MS_PER_S),
-            expected_turn_ms=round(expected.turn_s * _MS_PER_S),
+            expected_ms=round(estimate.total_s * _MS_PER_S),
+            expected_place_ms=round(estimate.slot_s * _MS_PER_S),
+            expected_load_ms=round(estimate.load_s * _MS_PER_S),
+            expected_turn_ms=round(estimate.turn_s * _MS_PER_S),
             **waits_ms,
             running=self._queue.running,
             queued=self._queue.queued,
         )
 
-    def refused(
+    def record_refused(
         self,
         request: turn_messages.TurnRequest,
         error: errors.RefusalError,
         is_above_share: bool,
     ) -> None:
-        """Take note of a turn that is refused."""
+        """Record a refused turn."""
         self.refused_count += 1
         log.info(
             'turn refused',
@@ -85,8 +85,8 @@
             queued=self._queue.queued,
         )
 
-    def lapsed(self, turn: turn_lease.TurnLease, now_s: float) -> None:
-        """Take note of a turn whose run its engine does not know."""
+    def record_lapsed(self, turn: turn_lease.TurnLease, now_s: float) -> None:
+        """Record a turn past its deadline, or whose run is missing."""
         self.lapsed_count += 1
         log.info(
             'turn lapsed',
@@ -95,13 +95,13 @@
             past_deadline=now_s >= turn.until_s,
         )
 
-    def _note_errors(
-        self, expected: wait_estimator.WaitEstimate, waits_ms: dict[str, int]
+    def _observe_errors(
+        self, estimate: wait_estimator.WaitEstimate, waits_ms: dict[str, int]
     ) -> None:
         for part, expected_s, waited_ms in (
-            ('adapter', expected.adapter_s, waits_ms['adapter_ms']),
-            ('turn', expected.turn_s, waits_ms['turn_ms']),
-            ('prompt', expected.prompt_s, waits_ms['prompt_ms']),
+            ('adapter', estimate.adapter_s, waits_ms['adapter_ms']),
+            ('turn', estimate.turn_s, waits_ms['turn_ms']),
+            ('prompt', estimate.prompt_s, waits_ms['prompt_ms']),
         ):
             error_s = abs(waited_ms / _MS_PER_S - expected_s)
             self._wait_errors.observe('part', part, error_s)
