--- a/lacewingpitch/admission.py
+++ b/lacewingpitch/admission.py
@@ -1,4 +1,4 @@
-"""Which requests an engine takes, and which are refused at once."""
+"""Admission control: which requests may wait for a turn at an engine."""
 
 import random
 from typing import Protocol
@@ -7,88 +7,89 @@
 from lacewingpitch import turn_messages
 
 _MS_PER_S = 1000
-# Other engines take what one that leaves refuses.
-_LEAVING_RETRY_S = 0.2
-# An engine that restarts loads its model, from its disk or from the store.
-# Callers that come back sooner would be refused again, and those that come
-# back together as well.
-_RESTART_RETRY_S = (1.5, 3.0)
-# Requests that wait for an engine to start: half of the messages that a
-# sidecar has in hand at once, so that the ends of turns come through.
+# Other engines accept what a leaving engine refuses.
+_LEAVING_RETRY_AFTER_S = 0.2
+# Range of the retry time while an engine restarts and loads its model from
+# its disk or from the store.  Earlier retries would be refused again, and so
+# would simultaneous ones.
+_RESTART_RETRY_AFTER_S = (1.5, 3.0)
+# Maximum number of requests that wait for an engine to start: half of the
+# messages that a sidecar handles at once, so that the ends of turns get
+# through.
 _MAX_AWAITING_START = 128
-# Share of the time to the first event that may be spent in waiting; the
-# rest is for reading its own prompt, and for what the estimate is wrong by.
-_WAIT_TARGET_RATIO = 0.6
-# What is late anyway is still served where it delays nobody else for longer
-# than the load of an adapter.
-_LEAST_WAIT_S = 0.4
-# Part of the wait for which an organisation above its share is let in, so
-# that those within theirs find a short queue.
-_ABOVE_SHARE_RATIO = 0.25
-# Added to the time after which callers would be let in if nobody else came,
-# so that they don't come together.  They come back once, and are on time if
-# that is soon.
-_COME_BACK_S = (0.1, 0.4)
-
-
-class EngineStage(Protocol):
-    """How far an engine is."""
+# Share of the time until the first event is due that a request may wait; the
+# rest is for reading its own prompt and for errors of the estimate.
+_MAX_WAIT_TARGET_RATIO = 0.6
+# A request that is late anyway is still served if its wait is at most this
+# long, where it delays others by no more than the load of an adapter.
+_MIN_WAIT_LIMIT_S = 0.4
+# Share of the allowed wait that remains for an organisation above its fair
+# share, so that organisations within theirs find a short queue.
+_ABOVE_SHARE_WAIT_RATIO = 0.25
+# Range of the delay that is added to the earliest retry time, so that callers
+# don't retry at the same time.  They retry once, and are on time if that is
+# soon.
+_RETRY_JITTER_S = (0.1, 0.4)
+
+
+class EngineStatus(Protocol):
+    """Lifecycle status of an engine."""
 
     @property
     def is_serving(self) -> bool:
-        """Whether the engine is up, and not about to leave."""
+        """Whether the engine is up, and not leaving."""
         ...
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the engine is up, and about to leave."""
+        """Whether the engine is up, and leaving."""
         ...
 
     @property
     def is_starting(self) -> bool:
-        """Whether the engine is up, and is to serve within seconds."""
+        """Whether the engine is up, and expected to serve within seconds."""
         ...
 
     @property
     def remaining_start_s(self) -> float:
-        """Return when an engine that starts is expected to serve."""
+        """Return the expected time until a starting engine serves."""
         ...
 
 
 class Admission:
     """Decides which requests may wait for a turn at one engine.
 
-    Load it answers: more than an engine can read in time.  A queue that
-    is let grow makes all answers late; with a short one, those that are
-    admitted are on time, and the others are told at once.
+    Designed for more load than an engine can process in time.  A queue that
+    grows without limit makes all answers late.  With a short queue the
+    admitted requests are on time, and the others are refused at once.
 
     Parameters
     ----------
     source
-        Spreads the times at which callers come back.
+        Source of the jitter of retry times.
     """
 
     def __init__(
         self,
-        engine: EngineStage,
+        engine: EngineStatus,
         source: random.Random,
     ) -> None:
         self._engine = engine
         self._random = source
 
-    def awaits_start(
+    def must_await_start(
         self, request: turn_messages.TurnRequest, awaiting_count: int
     ) -> bool:
-        """Whether a request waits until the engine has its model.
+        """Whether a request is to wait until the engine has its model.
 
-        After a loss of power all engines load their model at the same
-        time.  Callers come back once at most, and most of those that were
+        After a power failure all engines load their model at the same
+        time.  Callers retry once at most, and most requests that are
         refused at once would be refused again.
 
         Parameters
         ----------
         awaiting_count
-            Requests that wait for it already.
+            Requests that already wait for the engine.
         """
         if not request.waits_for_engine or not self._engine.is_starting:
             return False
@@ -103,45 +104,45 @@
         wait_s: float,
         is_above_share: bool = False,
     ) -> errors.RefusalError | None:
-        """Return why a request is refused at once; ``None`` if it is not.
+        """Return why a request is refused at once; ``None`` if admitted.
 
         Parameters
         ----------
         wait_s
-            How long it would wait for its turn.
+            Expected wait for its turn.
         is_above_share
-            Whether its organisation takes more than its share already.
+            Whether its organisation would exceed its fair share.
         """
         if not self._engine.is_serving:
-            return self.not_serving()
+            return self.not_serving_refusal()
         target_s = request.target_ms / _MS_PER_S
-        limit_s = max(_LEAST_WAIT_S, _WAIT_TARGET_RATIO * target_s)
+        limit_s = max(_MIN_WAIT_LIMIT_S, _MAX_WAIT_TARGET_RATIO * target_s)
         if is_above_share:
-            limit_s *= _ABOVE_SHARE_RATIO
+            limit_s *= _ABOVE_SHARE_WAIT_RATIO
         if request.accept_within_ms:
             limit_s = min(limit_s, request.accept_within_ms / _MS_PER_S)
         if wait_s <= limit_s:
             return None
         return errors.RefusalError(
             errors.ErrorKind.DEADLINE_UNREACHABLE,
-            f'a turn would come in {wait_s:.2f} s',
+            f'the expected wait for a turn is {wait_s:.2f} s',
             retry_after_s=max(0.0, wait_s - limit_s)
-            + self._random.uniform(*_COME_BACK_S),
+            + self._random.uniform(*_RETRY_JITTER_S),
         )
 
-    def not_serving(self) -> errors.RefusalError:
-        """Return why an engine that does not serve refuses."""
+    def not_serving_refusal(self) -> errors.RefusalError:
+        """Return the refusal of an engine that doesn't serve."""
         if self._engine.is_leaving:
             return errors.RefusalError(
                 errors.ErrorKind.DRAINING,
                 'the engine is leaving',
-                retry_after_s=_LEAVING_RETRY_S,
+                retry_after_s=_LEAVING_RETRY_AFTER_S,
             )
-        retry_after_s = self._random.uniform(*_RESTART_RETRY_S)
+        retry_after_s = self._random.uniform(*_RESTART_RETRY_AFTER_S)
         if self._engine.is_starting:
             return errors.RefusalError(
                 errors.ErrorKind.BACKEND_STARTING,
-                'the engine loads its model',
+                'the engine is loading its model',
                 retry_after_s=retry_after_s,
             )
         return errors.RefusalError(
--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -38,7 +38,7 @@
 log = structlog.get_logger(__name__)
 
 
-class EngineState(admission_module.EngineStage, Protocol):
+class EngineState(admission_module.EngineStatus, Protocol):
     """Engine state that granting turns depends on."""
 
     @property
@@ -201,7 +201,7 @@
         """
         for turn_id, turn in list(self._turns.items()):
             if turn.granted_at_s is None:
-                turn.refusal = self._admission.not_serving()
+                turn.refusal = self._admission.not_serving_refusal()
                 await self._end(turn_id)
 
     def _exceeds_fair_share(
@@ -217,7 +217,7 @@
         )
 
     def _must_await_start(self, request: turn_messages.TurnRequest) -> bool:
-        return self._admission.awaits_start(
+        return self._admission.must_await_start(
             request, self._awaiting_start_count
         )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Which requests an engine takes, without an engine."""
+"""Admission control at an engine, without an engine."""
 
 import dataclasses
 import random
@@ -45,26 +45,26 @@
 
 
 class TestRefusal:
-    def test_what_starts_in_time_is_taken(self):
+    def test_request_in_time_is_admitted(self):
         assert make_admission().refusal(REQUEST, 0.1) is None
 
-    def test_what_would_start_late_is_told_when_to_come_back(self):
+    def test_late_request_gets_a_retry_time(self):
         """Guards against a queue that makes all answers late."""
         found = make_admission().refusal(REQUEST, 0.7)
         assert found.kind is errors.ErrorKind.DEADLINE_UNREACHABLE
         assert found.outcome is errors.Outcome.NOT_RUN
-        # Let in at 0.6 s of waiting, it may come 0.1 s later.
+        # It would be admitted with a wait of 0.6 s, hence 0.1 s later.
         assert 0.2 <= found.retry_after_s <= 0.5
 
-    def test_what_is_late_anyway_waits_a_little(self):
-        """Guards against refusing a caller whose first engine died."""
-        decides = make_admission()
+    def test_overdue_request_may_wait_briefly(self):
+        """Guards against refusing a caller whose first engine crashed."""
+        controller = make_admission()
         late = request(target_ms=-500)
-        assert decides.refusal(late, 0.35) is None
-        assert decides.refusal(late, 0.45) is not None
+        assert controller.refusal(late, 0.35) is None
+        assert controller.refusal(late, 0.45) is not None
 
     @pytest.mark.parametrize(
-        ('stage', 'kind', 'least_s', 'most_s'),
+        ('stage', 'kind', 'min_s', 'max_s'),
         [
             ({'is_leaving': True}, errors.ErrorKind.DRAINING, 0.2, 0.2),
             (
@@ -76,42 +76,46 @@
             ({}, errors.ErrorKind.DRAINING, 1.5, 3.0),
         ],
     )
-    def test_an_engine_that_does_not_serve(self, stage, kind, least_s, most_s):
+    def test_engine_that_is_not_serving_refuses(
+        self, stage, kind, min_s, max_s
+    ):
         found = make_admission(is_serving=False, **stage).refusal(REQUEST, 0.0)
         assert found.kind is kind
         assert found.retry_elsewhere
-        assert least_s <= found.retry_after_s <= most_s
+        assert min_s <= found.retry_after_s <= max_s
 
 
 class TestAboveShare:
-    def test_waits_only_where_the_queue_is_short(self):
-        """Guards against a flood that fills the queue of all others."""
-        decides = make_admission()
-        assert decides.refusal(REQUEST, 0.3) is None
-        assert decides.refusal(REQUEST, 0.3, is_above_share=True) is not None
-        assert decides.refusal(REQUEST, 0.1, is_above_share=True) is None
-
-
-class TestAwaitsStart:
-    def test_only_those_that_ask_for_it(self):
-        """Guards against waiting at a start while another engine serves."""
-        decides = make_admission(is_serving=False, is_starting=True)
-        assert not decides.awaits_start(REQUEST, 0)
-        assert decides.awaits_start(request(waits_for_engine=True), 0)
-
-    def test_not_beyond_the_time_of_the_caller(self):
-        decides = make_admission(is_serving=False, is_starting=True)
+    def test_admitted_only_if_the_wait_is_short(self):
+        """Guards against a flood that fills the queue of other callers."""
+        controller = make_admission()
+        assert controller.refusal(REQUEST, 0.3) is None
+        assert (
+            controller.refusal(REQUEST, 0.3, is_above_share=True) is not None
+        )
+        assert controller.refusal(REQUEST, 0.1, is_above_share=True) is None
+
+
+class TestStartingEngine:
+    def test_only_requests_with_the_flag_wait(self):
+        """Guards against waiting for a start while another engine serves."""
+        controller = make_admission(is_serving=False, is_starting=True)
+        assert not controller.must_await_start(REQUEST, 0)
+        assert controller.must_await_start(request(waits_for_engine=True), 0)
+
+    def test_no_wait_beyond_the_deadline(self):
+        controller = make_admission(is_serving=False, is_starting=True)
         short = request(waits_for_engine=True, start_within_ms=900)
-        assert not decides.awaits_start(short, 0)
+        assert not controller.must_await_start(short, 0)
 
-    def test_not_without_bound(self):
-        decides = make_admission(is_serving=False, is_starting=True)
-        asks = request(waits_for_engine=True)
-        assert decides.awaits_start(asks, 127)
-        assert not decides.awaits_start(asks, 128)
+    def test_waiting_requests_are_limited(self):
+        controller = make_admission(is_serving=False, is_starting=True)
+        waiting = request(waits_for_engine=True)
+        assert controller.must_await_start(waiting, 127)
+        assert not controller.must_await_start(waiting, 128)
 
-    def test_not_at_one_that_serves_or_is_down(self):
-        asks = request(waits_for_engine=True)
-        assert not make_admission().awaits_start(asks, 0)
+    def test_no_wait_at_a_serving_or_stopped_engine(self):
+        waiting = request(waits_for_engine=True)
+        assert not make_admission().must_await_start(waiting, 0)
         down = make_admission(is_serving=False)
-        assert not down.awaits_start(asks, 0)
+        assert not down.must_await_start(waiting, 0)
