--- a/lacewingpitch/prefill_pacer.py
+++ b/lacewingpitch/prefill_pacer.py
@@ -1,4 +1,4 @@
-"""Spreads the reading of prompts, so that running streams do not pause."""
+"""Paces the prefill of prompts, so that running streams don't stall."""
 
 import asyncio
 from collections.abc import Iterator
@@ -10,56 +10,56 @@
 from lacewingpitch import clock as clock_module
 from lacewingpitch import token_bucket
 
-# Engines read prompts between the events of their streams.  At this rate no
-# pause between two events is longer than callers bear, one prompt of the
-# largest size included.
-_LOW_TOKENS_PER_S = 12_000.0
-# With this rate streams pause for longer on the slowest engines; it is used
-# while more requests wait than the low rate lets go in time.
-_HIGH_TOKENS_PER_S = 22_000.0
+# Engines read prompts between the events of their streams.  At this rate the
+# gaps between events stay below what callers tolerate, even with one prompt
+# of the largest size.
+_BASE_TOKENS_PER_S = 12_000.0
+# This rate lengthens the gaps on the slowest engines.  It is used while more
+# requests wait than the base rate can release in time.
+_MAX_TOKENS_PER_S = 22_000.0
 _BURST_TOKENS = 1_000.0
-# A backlog that would take longer than this raises the rate.
-_BACKLOG_S = 0.2
-# Time until requests whose adapter is being loaded come for their turn;
-# what can be read until then is not waited for behind them.
-_PREPARE_S = 0.25
-# While more is wanted than can be read, a route of the highest rank gets so
-# many tokens for each one of another, which must not starve.
+# A backlog that would take longer than this to drain raises the rate.
+_TARGET_DRAIN_S = 0.2
+# Time until requests whose adapters are loading need their turns.  Prompts
+# that can be read before then don't wait for these requests.
+_PREPARATION_S = 0.25
+# While demand exceeds the rate, a route of the highest rank gets this many
+# tokens per token of another route, which must not starve.
 _URGENT_WEIGHT = 4.0
 _MAX_FLOWS = 4096
 
 
 @dataclasses.dataclass(slots=True, order=True)
-class _Waiter:
-    """A prompt that waits; the lowest `finish` goes first."""
+class _QueuedPrompt:
+    """A queued prompt; the lowest `virtual_finish` goes first."""
 
-    finish: float
+    virtual_finish: float
     number: int
     tokens: int = dataclasses.field(compare=False)
-    turn: asyncio.Future[None] = dataclasses.field(compare=False)
+    released: asyncio.Future[None] = dataclasses.field(compare=False)
 
 
 class PrefillPacer:
-    """Lets requests go to one engine as it can read their prompts.
+    """Releases requests to one engine at the rate it can read prompts.
 
-    Load it answers: bursts of new streams at an engine whose batch has
-    places left.  Admitted together, their prompts are read in one go,
-    and each stream that runs there pauses for that long.  Flows share
-    what can be read by weighted fair queueing.
+    Designed for bursts of new streams at an engine whose batch has free
+    slots.  If such requests are released together, their prompts are read
+    in one go, and every running stream stalls meanwhile.  Flows share the
+    rate by weighted fair queueing.
     """
 
     def __init__(self, clock: clock_module.Clock) -> None:
         self._clock = clock
         self._bucket = token_bucket.TokenBucket(
-            _LOW_TOKENS_PER_S,
+            _BASE_TOKENS_PER_S,
             _BURST_TOKENS,
             _BURST_TOKENS,
             clock.monotonic_s(),
         )
-        self._waiting: list[_Waiter] = []
+        self._waiting: list[_QueuedPrompt] = []
         self._expected_tokens: float = 0.0
-        self._numbers = itertools.count()
-        self._virtual = 0.0
+        self._sequence_numbers = itertools.count()
+        self._virtual_time = 0.0
         self._finish_by_flow: dict[str, float] = {}
         self._timer: asyncio.TimerHandle | None = None
 
@@ -71,29 +71,31 @@
         after_s: float = 0.0,
         weight: float = 1.0,
     ) -> float:
-        """Return how long a request would wait from some time on.
+        """Return the expected wait of a request beyond `after_s`.
 
         Parameters
         ----------
         after_s
-            Until then it has no adapter, while others are read.
+            Time until it is ready, during which other prompts are read.
         """
         now_s = self._clock.monotonic_s()
-        finish = self._finish(tokens, flow, rank, weight)
+        virtual_finish = self._virtual_finish(tokens, flow, rank, weight)
         ahead: float = sum(
-            w.tokens for w in self._waiting if w.finish <= finish
+            w.tokens
+            for w in self._waiting
+            if w.virtual_finish <= virtual_finish
         )
-        soon = self._expected_tokens - _PREPARE_S * _HIGH_TOKENS_PER_S
-        ahead += max(0.0, soon)
-        missing = ahead + 1.0 - self._bucket.level(now_s)
-        return max(0.0, missing / _rate_per_s(missing) - after_s)
+        preparing = self._expected_tokens - _PREPARATION_S * _MAX_TOKENS_PER_S
+        ahead += max(0.0, preparing)
+        deficit = ahead + 1.0 - self._bucket.level(now_s)
+        return max(0.0, deficit / _rate_per_s(deficit) - after_s)
 
     @contextlib.contextmanager
     def expecting(self, tokens: int) -> Iterator[None]:
-        """Count a prompt as ahead of others while it prepares.
+        """Count a prompt as ahead of others while its request prepares.
 
-        Requests that come together all find the engine free, and those
-        that wait for their adapters come back together.
+        Otherwise requests that arrive together all find the engine free,
+        and those that wait for their adapters arrive here together.
         """
         self._expected_tokens += tokens
         try:
@@ -109,71 +111,71 @@
         Parameters
         ----------
         flow
-            Those who share what can be read among themselves.
+            Flow of weighted fair queueing that the request belongs to.
         rank
             Urgency; 0 is the most urgent.
         weight
-            Share of the flow where flows compete.
+            Weight of the flow relative to the others.
         """
         now_s = self._clock.monotonic_s()
         if not self._waiting and self._bucket.level(now_s) > 0.0:
             self._bucket.add(-tokens, now_s)
             return
-        finish = self._finish(tokens, flow, rank, weight)
+        virtual_finish = self._virtual_finish(tokens, flow, rank, weight)
         if len(self._finish_by_flow) >= _MAX_FLOWS:
             self._finish_by_flow.clear()
-        self._finish_by_flow[flow] = finish
-        waiter = _Waiter(
-            finish,
-            next(self._numbers),
+        self._finish_by_flow[flow] = virtual_finish
+        queued = _QueuedPrompt(
+            virtual_finish,
+            next(self._sequence_numbers),
             tokens,
             asyncio.get_running_loop().create_future(),
         )
-        heapq.heappush(self._waiting, waiter)
+        heapq.heappush(self._waiting, queued)
         self._set_rate()
         self._schedule()
         try:
-            await waiter.turn
+            await queued.released
         except asyncio.CancelledError:
-            if waiter in self._waiting:
-                self._waiting.remove(waiter)
+            if queued in self._waiting:
+                self._waiting.remove(queued)
                 heapq.heapify(self._waiting)
             raise
 
-    def _finish(
+    def _virtual_finish(
         self, tokens: int, flow: str, rank: int, weight: float
     ) -> float:
         weight *= 1.0 if rank else _URGENT_WEIGHT
-        start = max(self._virtual, self._finish_by_flow.get(flow, 0.0))
+        start = max(self._virtual_time, self._finish_by_flow.get(flow, 0.0))
         return start + tokens / weight
 
     def _schedule(self) -> None:
         if self._timer is None and self._waiting:
             now_s = self._clock.monotonic_s()
-            # A prompt of any size goes once the debt of those before is
-            # paid, and then leaves a debt of its own.
+            # A prompt of any size is released once the debt of the previous
+            # ones is repaid, and then adds its own tokens to the debt.
             wait_s = self._bucket.wait_s(1.0, now_s)
             self._timer = asyncio.get_running_loop().call_later(
-                wait_s, self._give
+                wait_s, self._release
             )
 
-    def _give(self) -> None:
+    def _release(self) -> None:
         self._timer = None
         now_s = self._clock.monotonic_s()
         while self._waiting and self._bucket.level(now_s) > 0.0:
-            waiter = heapq.heappop(self._waiting)
-            self._virtual = max(self._virtual, waiter.finish)
-            if not waiter.turn.done():
-                self._bucket.add(-waiter.tokens, now_s)
-                waiter.turn.set_result(None)
+            queued = heapq.heappop(self._waiting)
+            self._virtual_time = max(self._virtual_time, queued.virtual_finish)
+            if not queued.released.done():
+                self._bucket.add(-queued.tokens, now_s)
+                queued.released.set_result(None)
         self._set_rate()
         self._schedule()
 
     def _set_rate(self) -> None:
         now_s = self._clock.monotonic_s()
-        backlog = sum(waiter.tokens for waiter in self._waiting)
-        missing = backlog - self._bucket.level(now_s)
-        rate_per_s = _rate_per_s(missing)
+        backlog = sum(queued.tokens for queued in self._waiting)
+        deficit = backlog - self._bucket.level(now_s)
+        rate_per_s = _rate_per_s(deficit)
         if rate_per_s != self._bucket.rate_per_s:
             self._bucket.change(rate_per_s, _BURST_TOKENS, now_s)
             if self._timer is not None:
@@ -181,7 +183,7 @@
                 self._timer = None
 
 
-def _rate_per_s(missing_tokens: float) -> float:
-    """Return the rate at which a backlog is let go."""
-    wanted_per_s = missing_tokens / _BACKLOG_S
-    return min(max(wanted_per_s, _LOW_TOKENS_PER_S), _HIGH_TOKENS_PER_S)
+def _rate_per_s(deficit_tokens: float) -> float:
+    """Return the rate at which a backlog is released."""
+    wanted_per_s = deficit_tokens / _TARGET_DRAIN_S
+    return min(max(wanted_per_s, _BASE_TOKENS_PER_S), _MAX_TOKENS_PER_S)
