--- a/lacewingpitch/run_duration.py
+++ b/lacewingpitch/run_duration.py
@@ -1,57 +1,60 @@
-"""Learns how long runs take at an engine, by the length of their answers."""
-
-# Some fifty runs count; older ones fade.
-_KEPT_RATIO = 0.98
-# As if so many runs of the first guess had been seen.
-_PRIOR_COUNT = 2.0
-# Until some ran, the engine is taken for a quick one, and lets more in.
+"""Estimates the duration of runs at an engine by their answer lengths."""
+
+# Exponential decay per run: the estimate covers about fifty runs.
+_DECAY_RATIO = 0.98
+# Weight of each prior run, in runs.
+_PRIOR_WEIGHT = 2.0
+# Prior (tokens, seconds): until runs are recorded the engine counts as fast,
+# so that it admits more requests.
 _PRIOR_RUNS = ((10.0, 0.1), (300.0, 0.1))
 
 
 class RunDurationEstimator:
-    """A straight line through what runs of known length took.
+    """Linear regression of run durations over the expected tokens.
 
-    Load it answers: answers of a few tokens and of hundreds at the same
-    engine.  The length that callers expect tells when a place comes free
-    far better than what their routes took in the mean.
+    Designed for engines that serve answers of a few tokens as well as of
+    hundreds.  The length that callers expect predicts the end of a run far
+    better than the mean duration of their routes.
     """
 
     def __init__(self) -> None:
         self._count = 0.0
         self._tokens = 0.0
-        self._took_s = 0.0
-        self._tokens_squared = 0.0
+        self._duration_s = 0.0
+        self._squared_tokens = 0.0
         self._product = 0.0
-        for tokens, took_s in _PRIOR_RUNS:
-            self._add(tokens, took_s, _PRIOR_COUNT)
-
-    def learn(self, tokens: int, took_s: float) -> None:
-        """Take note of a run, by the tokens that were expected of it."""
-        self._count *= _KEPT_RATIO
-        self._tokens *= _KEPT_RATIO
-        self._took_s *= _KEPT_RATIO
-        self._tokens_squared *= _KEPT_RATIO
-        self._product *= _KEPT_RATIO
-        self._add(float(tokens), took_s, 1.0)
+        for tokens, duration_s in _PRIOR_RUNS:
+            self._add(tokens, duration_s, _PRIOR_WEIGHT)
+
+    def record(self, tokens: int, duration_s: float) -> None:
+        """Record the duration of a run of a number of expected tokens."""
+        self._count *= _DECAY_RATIO
+        self._tokens *= _DECAY_RATIO
+        self._duration_s *= _DECAY_RATIO
+        self._squared_tokens *= _DECAY_RATIO
+        self._product *= _DECAY_RATIO
+        self._add(float(tokens), duration_s, 1.0)
 
     def expected_s(self, tokens: int) -> float:
-        """Return how long a run is expected to take."""
+        """Return the expected duration of a run."""
         mean_tokens = self._tokens / self._count
-        mean_s = self._took_s / self._count
+        mean_s = self._duration_s / self._count
         expected_s = mean_s + self._slope * (tokens - mean_tokens)
         return max(0.0, expected_s)
 
     @property
     def _slope(self) -> float:
-        spread = self._count * self._tokens_squared - self._tokens**2
-        if spread <= 0.0:
+        variance = self._count * self._squared_tokens - self._tokens**2
+        if variance <= 0.0:
             return 0.0
-        covered = self._count * self._product - self._tokens * self._took_s
-        return max(0.0, covered / spread)
+        covariance = (
+            self._count * self._product - self._tokens * self._duration_s
+        )
+        return max(0.0, covariance / variance)
 
-    def _add(self, tokens: float, took_s: float, weight: float) -> None:
+    def _add(self, tokens: float, duration_s: float, weight: float) -> None:
         self._count += weight
         self._tokens += weight * tokens
-        self._took_s += weight * took_s
-        self._tokens_squared += weight * tokens**2
-        self._product += weight * tokens * took_s
+        self._duration_s += weight * duration_s
+        self._squared_tokens += weight * tokens**2
+        self._product += weight * tokens * duration_s
--- a/lacewingpitch/turn_client.py
+++ b/lacewingpitch/turn_client.py
@@ -72,7 +72,7 @@
         return len(self.starting) == len(self.refusals) > 0
 
 
-class SidecarLink(turn_end_reporter.EndsLink, Protocol):
+class SidecarLink(turn_end_reporter.TurnEndLink, Protocol):
     """Messages to the sidecars of engines."""
 
     async def request_turn(
@@ -122,7 +122,7 @@
             servers, placement, ejector
         )
         self._suspects = suspects
-        self._ended = turn_end_reporter.TurnEndReporter(
+        self._end_reporter = turn_end_reporter.TurnEndReporter(
             link, suspects.detector
         )
 
@@ -148,11 +148,13 @@
                 yield turn
         finally:
             if is_granted:
-                self._ended.note(turn.server.ip, wanted.turn_id, turn.server)
+                self._end_reporter.record(
+                    turn.server.ip, wanted.turn_id, turn.server
+                )
 
     async def run(self) -> None:
         """Report ended turns to the sidecars until cancelled."""
-        await self._ended.run()
+        await self._end_reporter.run()
 
     async def _acquire(
         self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
@@ -361,7 +363,7 @@
             except BaseException:
                 # The sidecar may have granted the turn although the caller
                 # left or the reply was lost.  The turn would stay occupied.
-                self._ended.note(server.ip, wanted.turn_id)
+                self._end_reporter.record(server.ip, wanted.turn_id)
                 raise
             self._ejector.record_success(
                 turn_candidates.sidecar_key(server.name)
@@ -380,7 +382,7 @@
                     retry_after_s=reply.retry_after_ms / _MS_PER_S,
                 )
             if not is_isolated and self._is_suspect(wanted):
-                self._ended.note(server.ip, wanted.turn_id)
+                self._end_reporter.record(server.ip, wanted.turn_id)
                 raise self._suspect_error(wanted)
             if not reply.is_pending:
                 turn = turn_spec.Turn(
@@ -389,7 +391,7 @@
                 self._check_listed(wanted, server, turn)
                 return turn
             if remaining_s <= wait_s:
-                self._ended.note(server.ip, wanted.turn_id)
+                self._end_reporter.record(server.ip, wanted.turn_id)
                 raise errors.RefusalError(
                     errors.ErrorKind.DEADLINE_UNREACHABLE,
                     'no turn before the deadline of the request',
@@ -436,7 +438,7 @@
         if turn.server.name != server.name:
             return
         if self._servers.find_serving(wanted.service, server.name) is None:
-            self._ended.note(server.ip, wanted.turn_id)
+            self._end_reporter.record(server.ip, wanted.turn_id)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING,
                 'the engine left while the turn was pending',
--- a/lacewingpitch/turn_duration.py
+++ b/lacewingpitch/turn_duration.py
@@ -1,22 +1,22 @@
-"""Learns how long requests keep a turn of their backend server."""
+"""Estimates how long requests hold a turn of their backend server."""
 
 import collections
 import dataclasses
 
 from lacewingpitch import work
 
-FIRST_GUESS_S = 0.1
+INITIAL_ESTIMATE_S = 0.1
 MAX_CUSTOMERS = 1024
 _SMOOTHING_RATIO = 0.2
 
 
 @dataclasses.dataclass(slots=True)
-class _Mean:
-    """A moving mean that starts at its first value."""
+class _MovingMean:
+    """Exponential moving average that starts at its first value."""
 
     value: float | None = None
 
-    def learn(self, value: float) -> None:
+    def record(self, value: float) -> None:
         if self.value is None:
             self.value = value
         else:
@@ -24,48 +24,48 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Means:
-    turn_s: _Mean = dataclasses.field(default_factory=_Mean)
-    token_s: _Mean = dataclasses.field(default_factory=_Mean)
+class _DurationMeans:
+    per_turn_s: _MovingMean = dataclasses.field(default_factory=_MovingMean)
+    per_token_s: _MovingMean = dataclasses.field(default_factory=_MovingMean)
 
-    def learn(self, order: work.WorkOrder, used_s: float) -> None:
-        self.turn_s.learn(used_s)
+    def record(self, order: work.WorkOrder, duration_s: float) -> None:
+        self.per_turn_s.record(duration_s)
         if order.max_tokens:
-            self.token_s.learn(used_s / order.max_tokens)
+            self.per_token_s.record(duration_s / order.max_tokens)
 
     def predict_s(self, order: work.WorkOrder) -> float | None:
-        if order.max_tokens and self.token_s.value is not None:
-            return order.max_tokens * self.token_s.value
-        return self.turn_s.value
+        if order.max_tokens and self.per_token_s.value is not None:
+            return order.max_tokens * self.per_token_s.value
+        return self.per_turn_s.value
 
 
 class TurnDurationEstimator:
-    """Predicts turns from what the customer's earlier ones took.
+    """Predicts the duration of turns from earlier turns of the customer.
 
-    The prediction grows with ``max_tokens`` where the caller gave it.
-    A customer not met before is taken for an average one.
+    The prediction is proportional to ``max_tokens`` where the caller set
+    it.  A new customer gets the average over all customers.
     """
 
     def __init__(self) -> None:
-        self._all = _Means()
-        self._by_customer: collections.OrderedDict[str, _Means] = (
+        self._overall = _DurationMeans()
+        self._by_customer: collections.OrderedDict[str, _DurationMeans] = (
             collections.OrderedDict()
         )
 
     def predict_s(self, order: work.WorkOrder) -> float:
-        """Return for how long a request is expected to keep its turn."""
-        means = self._by_customer.get(order.customer, self._all)
-        found = means.predict_s(order)
-        if found is None:
-            found = self._all.predict_s(order)
-        return FIRST_GUESS_S if found is None else found
-
-    def learn(self, order: work.WorkOrder, used_s: float) -> None:
-        """Take note of how long a request kept its turn."""
-        self._all.learn(order, used_s)
+        """Return the expected duration of a request's turn."""
+        means = self._by_customer.get(order.customer, self._overall)
+        duration_s = means.predict_s(order)
+        if duration_s is None:
+            duration_s = self._overall.predict_s(order)
+        return INITIAL_ESTIMATE_S if duration_s is None else duration_s
+
+    def record(self, order: work.WorkOrder, duration_s: float) -> None:
+        """Record the actual duration of a request's turn."""
+        self._overall.record(order, duration_s)
         customer = order.customer
-        means = self._by_customer.setdefault(customer, _Means())
-        means.learn(order, used_s)
+        means = self._by_customer.setdefault(customer, _DurationMeans())
+        means.record(order, duration_s)
         self._by_customer.move_to_end(customer)
         if len(self._by_customer) > MAX_CUSTOMERS:
             self._by_customer.popitem(last=False)
--- a/lacewingpitch/turn_end_reporter.py
+++ b/lacewingpitch/turn_end_reporter.py
@@ -1,4 +1,4 @@
-"""Tells sidecars which turns have ended."""
+"""Reports ended turns to the sidecars that granted them."""
 
 import asyncio
 import collections
@@ -12,27 +12,27 @@
 from lacewingpitch import errors
 from lacewingpitch import turn_messages
 
-# Ends of turns are sent together: fewer messages, while a place stays
-# taken hardly longer.
-_ENDS_INTERVAL_S = 0.01
-_ENDS_TIMEOUT_S = 1.0
-_MAX_KEPT_ENDS = 1024
+# Ends of turns are batched: fewer messages, while a turn stays occupied
+# hardly longer.
+_SEND_INTERVAL_S = 0.01
+_SEND_TIMEOUT_S = 1.0
+_MAX_QUEUED_ENDS = 1024
 log = structlog.get_logger(__name__)
 
 
-class EndsLink(Protocol):
+class TurnEndLink(Protocol):
     """Messages to the sidecars of engines."""
 
     async def end_turns(
         self, ip: str, message: turn_messages.TurnEnds, timeout_s: float
     ) -> turn_messages.TurnEndsReply:
-        """Say that turns have ended."""
+        """Report ended turns."""
         ...
 
 
 @dataclasses.dataclass(slots=True)
-class _Ends:
-    """Turns that ended at one sidecar, and the engines they were for."""
+class _EndBatch:
+    """Ended turns of one sidecar, and the engines to be checked."""
 
     turn_ids: list[str] = dataclasses.field(default_factory=list)
     servers: dict[str, backend_list.BackendServer] = dataclasses.field(
@@ -41,79 +41,82 @@
 
 
 class TurnEndReporter:
-    """Gathers the turns that ended, and sends them to their sidecars.
+    """Collects ended turns, and sends them to their sidecars in batches.
 
     Parameters
     ----------
-    crashes
-        Waits to know whether an engine has crashed.
+    detector
+        Needs the state of engines whose connections were lost.
     """
 
     def __init__(
-        self, link: EndsLink, crashes: crash_detector.CrashDetector
+        self, link: TurnEndLink, detector: crash_detector.CrashDetector
     ) -> None:
         self._link = link
-        self._crashes = crashes
-        self._ends: collections.defaultdict[str, _Ends] = (
-            collections.defaultdict(_Ends)
+        self._detector = detector
+        self._batches: collections.defaultdict[str, _EndBatch] = (
+            collections.defaultdict(_EndBatch)
         )
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def note(
+    def record(
         self,
         ip: str,
         turn_id: str,
         server: backend_list.BackendServer | None = None,
     ) -> None:
-        """Take note that a turn has ended, or is not wanted any more.
+        """Record that a turn has ended, or is no longer needed.
 
         Parameters
         ----------
         server
-            The engine that it was used at, if it was.
+            The engine at which the turn was used, if any.
         """
-        ends = self._ends[ip]
-        if len(ends.turn_ids) < _MAX_KEPT_ENDS:
-            ends.turn_ids.append(turn_id)
-        if server is not None and self._crashes.has_pending(server):
-            ends.servers[server.start_id] = server
+        batch = self._batches[ip]
+        if len(batch.turn_ids) < _MAX_QUEUED_ENDS:
+            batch.turn_ids.append(turn_id)
+        if server is not None and self._detector.has_pending(server):
+            batch.servers[server.start_id] = server
 
     async def run(self) -> None:
-        """Send what has gathered, for ever."""
+        """Send the collected turns until cancelled."""
         while True:
-            await asyncio.sleep(_ENDS_INTERVAL_S)
-            if not self._ends:
+            await asyncio.sleep(_SEND_INTERVAL_S)
+            if not self._batches:
                 continue
-            ends, self._ends = self._ends, collections.defaultdict(_Ends)
-            for ip, found in ends.items():
-                # Each sidecar in a task of its own: one that is frozen
-                # must not hold up the places at all others.
-                task = asyncio.create_task(self._send(ip, found))
+            batches, self._batches = (
+                self._batches,
+                collections.defaultdict(_EndBatch),
+            )
+            for ip, batch in batches.items():
+                # Each sidecar has its own task: a frozen one must not delay
+                # the release of turns at the others.
+                task = asyncio.create_task(self._send(ip, batch))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _send(self, ip: str, ends: _Ends) -> None:
+    async def _send(self, ip: str, batch: _EndBatch) -> None:
         message = turn_messages.TurnEnds(
-            turn_ids=tuple(ends.turn_ids), asks_state=bool(ends.servers)
+            turn_ids=tuple(batch.turn_ids), asks_state=bool(batch.servers)
         )
         try:
-            reply = await self._link.end_turns(ip, message, _ENDS_TIMEOUT_S)
+            reply = await self._link.end_turns(ip, message, _SEND_TIMEOUT_S)
         except errors.LinkError as error:
-            # The sidecar finds out by the engine's report.
+            # The sidecar finds ended turns by the engine's reports as well.
             log.info(
-                'ends of turns not delivered',
+                'ended turns not reported',
                 ip=ip,
-                count=len(ends.turn_ids),
+                count=len(batch.turn_ids),
                 error=str(error),
             )
             return
         if not reply.is_known:
             return
-        for server in ends.servers.values():
+        for server in batch.servers.values():
             if _is_running(server, reply):
-                self._crashes.record_running(server)
+                self._detector.record_running(server)
             else:
-                self._crashes.record_exit(server)
+                self._detector.record_exit(server)
 
 
 def _is_running(
--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -107,7 +107,7 @@
         )
         self._hint = hint_builder.HintBuilder(queue, adapters, pacer)
         self._admission = admission_module.Admission(engine, source)
-        self._run_times = run_duration.RunDurationEstimator()
+        self._run_durations = run_duration.RunDurationEstimator()
         self._awaiting_start_count = 0
 
     def __len__(self) -> int:
@@ -303,7 +303,7 @@
         return prompt_s + self._expected_run_s(request)
 
     def _expected_run_s(self, request: turn_messages.TurnRequest) -> float:
-        return self._run_times.expected_s(
+        return self._run_durations.expected_s(
             request.expected_tokens or request.max_tokens
         )
 
@@ -311,7 +311,7 @@
         if turn.granted_at_s is None:
             return
         request = turn.request
-        self._run_times.learn(
+        self._run_durations.record(
             request.expected_tokens or request.max_tokens,
             self._clock.monotonic_s() - turn.granted_at_s,
         )
--- a/lacewingpitch/turn_queue.py
+++ b/lacewingpitch/turn_queue.py
@@ -191,7 +191,7 @@
         self._max_queued = max_queued
         self._discipline = discipline
         self._clock = clock
-        self._turn_times = turn_duration.TurnDurationEstimator()
+        self._turn_durations = turn_duration.TurnDurationEstimator()
         self._waiting: dict[Waiter, None] = {}
         self._reserved: dict[Waiter, None] = {}
         self._prepared: dict[Waiter, None] = {}
@@ -257,7 +257,7 @@
         waiter = Waiter(
             order,
             self._clock.monotonic_s(),
-            self._turn_times.predict_s(order),
+            self._turn_durations.predict_s(order),
             loop.create_future(),
             loop.create_future(),
         )
@@ -353,7 +353,7 @@
             return
         del self._running[waiter]
         waiter.used_s = self._clock.monotonic_s() - waiter.started_s
-        self._turn_times.learn(waiter.order, waiter.used_s)
+        self._turn_durations.record(waiter.order, waiter.used_s)
         self._grant_turns()
 
     def _check_limits(self, order: work.WorkOrder) -> None:
@@ -488,7 +488,7 @@
     def _remaining_s(self, waiter: Waiter, now_s: float) -> float:
         # An overdue turn is expected to last as long again as it is
         # overdue, so that a stalled engine worsens every estimate.
-        expected_s = self._turn_times.predict_s(waiter.order)
+        expected_s = self._turn_durations.predict_s(waiter.order)
         return abs(expected_s - (now_s - waiter.started_s))
 
     def _wait_at_head_s(self, customer: str | None) -> float:
