--- a/lacewingpitch/active_entries.py
+++ b/lacewingpitch/active_entries.py
@@ -1,17 +1,17 @@
-"""How many entries ask one sidecar."""
+"""Counts the entries that send requests to one sidecar."""
 
 from lacewingpitch import clock as clock_module
 
-# As long as the window of the common retry budget, so that an entry which
-# still has retries to spend is counted.
-_KEPT_S = 10.0
+# Equals the window of the shared retry budget, so that an entry that still
+# has retries left is counted.
+_ACTIVE_WINDOW_S = 10.0
 
 
 class ActiveEntries:
-    """Counts the entries that asked of late.
+    """Counts the entries that have recently sent requests.
 
-    Entries share the retry budget of a service, and learn from sidecars
-    how many they are: nothing else tells them of each other.
+    Entries share the retry budget of a service, and learn their number
+    from the sidecars; they have no other source for it.
 
     Parameters
     ----------
@@ -21,22 +21,22 @@
 
     def __init__(self, clock: clock_module.Clock) -> None:
         self._clock = clock
-        # The one that asked longest ago comes first.
-        self._asked_at_s: dict[str, float] = {}
+        # In order of the last request, the oldest first.
+        self._last_request_s: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Return how many entries asked of late."""
-        return len(self._asked_at_s)
+        """Return the number of active entries."""
+        return len(self._last_request_s)
 
-    def note(self, entry: str) -> None:
-        """Take note that an entry asks."""
+    def record(self, entry: str) -> None:
+        """Record a request of an entry."""
         now_s = self._clock.monotonic_s()
-        self._asked_at_s.pop(entry, None)
-        self._asked_at_s[entry] = now_s
-        oldest = next(iter(self._asked_at_s))
-        if now_s - self._asked_at_s[oldest] > _KEPT_S:
-            self._asked_at_s = {
+        self._last_request_s.pop(entry, None)
+        self._last_request_s[entry] = now_s
+        oldest = next(iter(self._last_request_s))
+        if now_s - self._last_request_s[oldest] > _ACTIVE_WINDOW_S:
+            self._last_request_s = {
                 name: at_s
-                for name, at_s in self._asked_at_s.items()
-                if now_s - at_s <= _KEPT_S
+                for name, at_s in self._last_request_s.items()
+                if now_s - at_s <= _ACTIVE_WINDOW_S
             }
--- a/lacewingpitch/fair_share.py
+++ b/lacewingpitch/fair_share.py
@@ -1,4 +1,4 @@
-"""Whether an organisation takes more of an engine than its share."""
+"""Detects organisations that exceed their fair share of an engine."""
 
 import collections
 from collections.abc import Iterable
@@ -6,22 +6,22 @@
 from lacewingpitch import turn_messages
 
 # Tolerance for random arrivals.
-_ALLOWED_RATIO = 1.5
+_TOLERANCE_RATIO = 1.5
 
 
-def is_above(
+def is_exceeded(
     request: turn_messages.TurnRequest,
     others: Iterable[turn_messages.TurnRequest],
 ) -> bool:
-    """Whether its organisation would have more than its share of turns.
+    """Whether a request takes its organisation above its share of turns.
 
-    The turns that are granted or waited for are shared by weight between
-    the organisations that have any.
+    Granted and pending turns are shared by weight between the
+    organisations that have any.
 
     Parameters
     ----------
     others
-        Requests whose turns are granted or waited for.
+        Requests with granted or pending turns.
     """
     if not request.organisation:
         return False
@@ -33,5 +33,5 @@
     if len(weights) == 1:
         return False
     share = request.weight / sum(weights.values())
-    allowed = _ALLOWED_RATIO * share * (1 + counts.total())
+    allowed = _TOLERANCE_RATIO * share * (1 + counts.total())
     return counts[request.organisation] + 1 > allowed
--- a/lacewingpitch/hint_builder.py
+++ b/lacewingpitch/hint_builder.py
@@ -1,4 +1,7 @@
-"""What a sidecar tells entries of its engine, as of now."""
+"""Builds the hints that a sidecar sends to entries.
+
+A hint is a load report on the engine that is piggybacked on a reply.
+"""
 
 from lacewingpitch import hint as hint_module
 from lacewingpitch import prefill_pacer
@@ -9,7 +12,7 @@
 
 
 class HintBuilder:
-    """Makes the hint that goes with each reply."""
+    """Builds the hint for each reply."""
 
     def __init__(
         self,
@@ -21,15 +24,17 @@
         self._adapters = adapters
         self._pacer = pacer
 
-    def now(self) -> hint_module.Hint:
-        """Return the state of the engine."""
-        missing = self._adapters.expected_wait()
-        copy_wait_s = missing.slot_s + self._adapters.cached_copy_load_s
+    def build(self) -> hint_module.Hint:
+        """Return a hint with the current load of the engine."""
+        new_adapter_wait = self._adapters.expected_wait()
+        copy_wait_s = (
+            new_adapter_wait.slot_s + self._adapters.cached_copy_load_s
+        )
         return hint_module.Hint(
             running=self._queue.running,
             queued=self._queue.queued,
             max_running=max(1, self._queue.turn_count),
-            load_wait_ms=int(missing.total_s * _MS_PER_S),
+            load_wait_ms=int(new_adapter_wait.total_s * _MS_PER_S),
             spare_slots=self._adapters.spare_slot_count,
             adapters=hint_module.encode_fingerprints(self._adapters.adapters),
             turn_wait_ms=int(self._pacer.wait_s() * _MS_PER_S),
--- a/lacewingpitch/plain_server_selector.py
+++ b/lacewingpitch/plain_server_selector.py
@@ -1,4 +1,4 @@
-"""Which server of a plain service one request goes to, suspects included."""
+"""Selects a server of a plain service for one request."""
 
 from collections.abc import Collection, Iterator, Sequence
 import contextlib
@@ -9,28 +9,29 @@
 from lacewingpitch import isolation
 from lacewingpitch import service_balancer
 
-_NO_SERVER_RETRY_S = 0.5
-_SUSPECT_RETRY_S = 0.5
+_NO_SERVER_RETRY_AFTER_S = 0.5
+_SUSPECT_RETRY_AFTER_S = 0.5
 
 
 class PlainServerSelector:
-    """Sends requests to plain services, and suspects one by one.
+    """Selects servers of plain services, and isolates suspect requests.
 
-    No process beside a plain server counts for all entries: each sends one
-    suspect at a time, and all send them to the same server.
+    Plain servers have no sidecar that could count requests of all entries.
+    Instead each entry sends one suspect request at a time, and all entries
+    send them to the same server.
 
     Parameters
     ----------
     record
-        What is known of suspect requests.
+        Record of suspect requests.
     """
 
     def __init__(
         self,
-        services: service_balancer.ServiceBalancer,
+        balancer: service_balancer.ServiceBalancer,
         record: crash_record.CrashRecord,
     ) -> None:
-        self._services = services
+        self._balancer = balancer
         self._record = record
         self._is_isolating = False
 
@@ -41,36 +42,36 @@
         services: Sequence[str],
         excluded: Collection[str],
     ) -> Iterator[backend_list.BackendServer]:
-        """Choose a server, and count the request there while it lasts.
+        """Select a server, and count the request while the context is open.
 
         Parameters
         ----------
         services
-            In the order in which they are tried.
+            Names of services, in order of preference.
 
         Raises
         ------
         RefusalError
-            There is none now; the request did not run.
+            There is no server now; the request did not run.
         """
         handling = self._record.handling(fingerprint)
         if handling is crash_record.Handling.REFUSED:
             raise isolation.barred_refusal(self._record, fingerprint)
         is_isolated = handling is crash_record.Handling.ISOLATED
-        with contextlib.ExitStack() as exits:
+        with contextlib.ExitStack() as stack:
             if is_isolated:
-                exits.enter_context(self._isolating())
+                stack.enter_context(self._isolated_run())
             server = self._choose(services, excluded, is_isolated)
-            exits.enter_context(self._services.track_request(server))
+            stack.enter_context(self._balancer.track_request(server))
             yield server
 
     @contextlib.contextmanager
-    def _isolating(self) -> Iterator[None]:
+    def _isolated_run(self) -> Iterator[None]:
         if self._is_isolating:
             raise errors.RefusalError(
                 errors.ErrorKind.QUEUE_FULL,
-                'another suspect request runs',
-                retry_after_s=_SUSPECT_RETRY_S,
+                'another suspect request is running',
+                retry_after_s=_SUSPECT_RETRY_AFTER_S,
             )
         self._is_isolating = True
         try:
@@ -86,13 +87,15 @@
     ) -> backend_list.BackendServer:
         for service in services:
             if is_isolated:
-                server = self._services.choose_isolated(service, excluded)
+                server = self._balancer.choose_isolation_server(
+                    service, excluded
+                )
             else:
-                server = self._services.choose(service, excluded)
+                server = self._balancer.choose(service, excluded)
             if server is not None:
                 return server
         raise errors.RefusalError(
             errors.ErrorKind.NO_BACKEND_SERVER,
             'no backend server of the service can be reached',
-            retry_after_s=_NO_SERVER_RETRY_S,
+            retry_after_s=_NO_SERVER_RETRY_AFTER_S,
         )
--- a/lacewingpitch/service_balancer.py
+++ b/lacewingpitch/service_balancer.py
@@ -1,4 +1,4 @@
-"""Which backend server of a plain service a request goes to."""
+"""Balances requests over the backend servers of plain services."""
 
 from collections.abc import Collection, Iterator
 import contextlib
@@ -9,31 +9,33 @@
 from lacewingpitch import ejection
 from lacewingpitch import isolation
 
-# Round trip between two zones of a region, plus what its bytes cost; it
-# decides only between servers that are equally idle and well.
-_OTHER_ZONE_S = 0.003
-# What a failed answer counts in seconds of waiting: a request that may
-# not be repeated is lost, and its caller waits for its own deadline.
-_FAILURE_COSTS_S = 1.0
-_FIRST_LATENCY_S = 0.02
+# Round trip between two availability zones of a region plus the cost of the
+# traffic; it decides only between equally idle and healthy servers.
+_OTHER_ZONE_COST_S = 0.003
+# Cost of a failed answer in seconds of waiting: a request that must not be
+# repeated is lost, and its caller waits until the deadline.
+_FAILURE_COST_S = 1.0
+_INITIAL_LATENCY_S = 0.02
 _SMOOTHING_RATIO = 0.1
 _MAX_SERVERS = 1024
 
 
 @dataclasses.dataclass(slots=True)
-class _View:
-    """What this process has seen of one backend server."""
+class _ServerLoad:
+    """In-flight requests and latency of one server, as seen here."""
 
-    under_way_count: int = 0
-    latency_s: float = _FIRST_LATENCY_S
+    in_flight_count: int = 0
+    latency_s: float = _INITIAL_LATENCY_S
 
 
 class ServiceBalancer:
-    """Sends requests where they are answered soonest, and well.
+    """Selects the server with the lowest expected cost.
 
-    Load it answers: plain services at 5 to 60% of what their servers
-    bear, so that one of the same zone is nearly always idle, while a
-    server that fails or is slow has to be left within a few requests.
+    The cost combines latency, in-flight requests, failures and the distance
+    of the availability zone.  Designed for plain services at 5 to 60% of
+    their servers' capacity, where a server of the same zone is nearly always
+    idle, and where a failing or slow server must be avoided within a few
+    requests.
     """
 
     def __init__(
@@ -47,27 +49,29 @@
         self._ejector = ejector
         self._availability_zone = availability_zone
         self._random = source
-        self._views: dict[str, _View] = {}
+        self._loads: dict[str, _ServerLoad] = {}
 
     def choose(
         self, service: str, excluded: Collection[str]
     ) -> backend_list.BackendServer | None:
-        """Return the server to send to, or ``None`` if there is none."""
-        found = {
+        """Return the best server, or ``None`` if there is none."""
+        candidates = {
             server.name: server
             for server in self._servers.serving(service)
             if server.name not in excluded
         }
-        if not found:
+        if not candidates:
             return None
-        names = self._ejector.allowed(list(found))
+        names = self._ejector.allowed(list(candidates))
         self._random.shuffle(names)
-        return found[min(names, key=lambda name: self._cost_s(found[name]))]
+        return candidates[
+            min(names, key=lambda name: self._cost_s(candidates[name]))
+        ]
 
-    def choose_isolated(
+    def choose_isolation_server(
         self, service: str, excluded: Collection[str]
     ) -> backend_list.BackendServer | None:
-        """Return the server to which suspect requests go."""
+        """Return the one server that runs suspect requests."""
         return isolation.select_server(
             server
             for server in self._servers.serving(service)
@@ -78,44 +82,44 @@
     def track_request(
         self, server: backend_list.BackendServer
     ) -> Iterator[None]:
-        """Count a request as under way while the context is open."""
-        view = self._view(server.name)
-        view.under_way_count += 1
+        """Count a request as in flight while the context is open."""
+        load = self._load(server.name)
+        load.in_flight_count += 1
         try:
             yield
         finally:
-            view.under_way_count -= 1
+            load.in_flight_count -= 1
 
     def record_latency(self, name: str, latency_s: float) -> None:
-        """Take note of how long an answer took."""
-        view = self._view(name)
-        view.latency_s += _SMOOTHING_RATIO * (latency_s - view.latency_s)
+        """Record the latency of an answer."""
+        load = self._load(name)
+        load.latency_s += _SMOOTHING_RATIO * (latency_s - load.latency_s)
 
     def reset_latency(self, name: str) -> None:
-        """Forget how quick a server was: it has started again."""
-        view = self._views.get(name)
-        if view is not None:
-            view.latency_s = _FIRST_LATENCY_S
-
-    def _view(self, name: str) -> _View:
-        found = self._views.get(name)
-        if found is None:
-            self._forget_unlisted()
-            found = self._views[name] = _View()
-        return found
+        """Reset the latency estimate of a server that has restarted."""
+        load = self._loads.get(name)
+        if load is not None:
+            load.latency_s = _INITIAL_LATENCY_S
+
+    def _load(self, name: str) -> _ServerLoad:
+        load = self._loads.get(name)
+        if load is None:
+            self._discard_unlisted()
+            load = self._loads[name] = _ServerLoad()
+        return load
 
     def _cost_s(self, server: backend_list.BackendServer) -> float:
-        view = self._views.get(server.name) or _View()
-        ahead = view.under_way_count / max(1, server.max_running)
-        cost_s = view.latency_s * (1.0 + ahead)
-        cost_s += _FAILURE_COSTS_S * self._ejector.failure_ratio(server.name)
+        load = self._loads.get(server.name) or _ServerLoad()
+        utilisation = load.in_flight_count / max(1, server.max_running)
+        cost_s = load.latency_s * (1.0 + utilisation)
+        cost_s += _FAILURE_COST_S * self._ejector.failure_ratio(server.name)
         if server.availability_zone != self._availability_zone:
-            cost_s += _OTHER_ZONE_S
+            cost_s += _OTHER_ZONE_COST_S
         return cost_s
 
-    def _forget_unlisted(self) -> None:
-        if len(self._views) < _MAX_SERVERS:
+    def _discard_unlisted(self) -> None:
+        if len(self._loads) < _MAX_SERVERS:
             return
-        for name, view in list(self._views.items()):
-            if not view.under_way_count and self._servers.get(name) is None:
-                del self._views[name]
+        for name, load in list(self._loads.items()):
+            if not load.in_flight_count and self._servers.get(name) is None:
+                del self._loads[name]
--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -1,4 +1,4 @@
-"""Which engines a request may get a turn at."""
+"""Selects the engines at which a request may get a turn."""
 
 from collections.abc import Collection
 
@@ -9,13 +9,13 @@
 from lacewingpitch import placement as placement_module
 from lacewingpitch import turn_spec
 
-# More engines than these would only spread one request's wait: those
-# further down are the most loaded, or the last to get the adapter.
-_MAX_ASKED = 3
+# Engines further down the ranking are the most loaded, or the least likely to
+# hold the adapter, and would only add to the request's wait.
+_MAX_CANDIDATES = 3
 
 
 class TurnCandidates:
-    """Engines that serve, whose sidecars answer, by how well they fit."""
+    """Ranks the engines that serve and whose sidecars respond."""
 
     def __init__(
         self,
@@ -28,72 +28,73 @@
         self._ejector = ejector
         self._instances = listed_instances.ListedInstances(servers, placement)
 
-    def to_ask(
-        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    def ranked_candidates(
+        self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
-        """Return the engines whose sidecars are asked, in their order."""
-        instances = self._instances.of(wanted.service)
+        """Return the engines to try, in order of preference."""
+        instances = self._instances.of(spec.service)
         ranked = self._placement.ranked_instances(
-            wanted.key or wanted.run_id, instances
+            spec.key or spec.run_id, instances
         )
         names = [i.name for i in ranked if i.name not in excluded]
         allowed = set(self._ejector.allowed(names))
-        asked = [sidecar_key(name) for name in names]
-        allowed_to_ask = set(self._ejector.allowed(asked))
-        chosen = []
+        sidecar_keys = [sidecar_key(name) for name in names]
+        allowed_sidecars = set(self._ejector.allowed(sidecar_keys))
+        candidates = []
         for name in names:
-            server = self._servers.find_serving(wanted.service, name)
+            server = self._servers.find_serving(spec.service, name)
             if server is None or name not in allowed:
                 continue
-            if sidecar_key(name) in allowed_to_ask:
-                chosen.append(server)
-        return chosen[:_MAX_ASKED]
+            if sidecar_key(name) in allowed_sidecars:
+                candidates.append(server)
+        return candidates[:_MAX_CANDIDATES]
 
-    def isolated(
-        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    def isolation_server(
+        self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> backend_list.BackendServer | None:
-        """Return the engine to which suspect requests go."""
+        """Return the one engine that runs suspect requests."""
         servers = [
             server
-            for server in self._servers.serving(wanted.service)
+            for server in self._servers.serving(spec.service)
             if server.name not in excluded
         ]
-        asked = [sidecar_key(server.name) for server in servers]
-        allowed = set(self._ejector.allowed(asked))
+        sidecar_keys = [sidecar_key(server.name) for server in servers]
+        allowed = set(self._ejector.allowed(sidecar_keys))
         return isolation.select_server(
             server for server in servers if sidecar_key(server.name) in allowed
         )
 
-    def any_holding(
-        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+    def fallback_turn(
+        self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> turn_spec.Turn | None:
-        """Return a turn at any engine that is known to hold the adapter."""
-        for server in self._servers.serving(wanted.service):
+        """Return a turn at any engine that is listed with the adapter."""
+        for server in self._servers.serving(spec.service):
             if server.name not in excluded:
-                turn = without_sidecar(server, wanted)
+                turn = unconfirmed_turn(server, spec)
                 if turn is not None:
                     return turn
         return None
 
 
 def sidecar_key(name: str) -> str:
-    """Return the name under which an engine's sidecar may be ejected."""
+    """Return the ejector's name for the sidecar of an engine."""
     return f'{name}/sidecar'
 
 
-def without_sidecar(
+def unconfirmed_turn(
     server: backend_list.BackendServer,
-    wanted: turn_spec.TurnSpec,
+    spec: turn_spec.TurnSpec,
 ) -> turn_spec.Turn | None:
-    """Return a turn at an engine that is known to hold the adapter.
+    """Return a turn without the sidecar's consent, or ``None``.
 
-    An engine serves on while its sidecar is frozen or restarts.  It
-    refuses what it does not hold, so that a list that is out of date
-    costs an attempt and no wrong answer.
+    The engine must be listed with the adapter.  An engine keeps serving
+    while its sidecar is frozen or restarts.  It refuses adapters that it
+    doesn't hold, so that an outdated list costs an attempt but never yields
+    a wrong answer.
     """
-    if not wanted.adapter:
+    if not spec.adapter:
         return turn_spec.Turn(server, 0)
-    held = server.adapters.get(f'{wanted.model}/{wanted.adapter}')
-    if held is None or held < wanted.version:
+    held = server.adapters.get(f'{spec.model}/{spec.adapter}')
+    if held is None or held < spec.version:
         return None
     return turn_spec.Turn(server, held)
--- a/lacewingpitch/turn_client.py
+++ b/lacewingpitch/turn_client.py
@@ -128,7 +128,7 @@
 
     @contextlib.asynccontextmanager
     async def acquire(
-        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+        self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> AsyncIterator[turn_spec.Turn]:
         """Acquire a turn and hold it while the context is open.
 
@@ -142,14 +142,14 @@
         RefusalError
             No engine can run the request in time; it did not run.
         """
-        turn, is_granted = await self._acquire(wanted, excluded)
+        turn, is_granted = await self._acquire(spec, excluded)
         try:
-            with self._placement.track_request(wanted.key, turn.server.name):
+            with self._placement.track_request(spec.key, turn.server.name):
                 yield turn
         finally:
             if is_granted:
                 self._end_reporter.record(
-                    turn.server.ip, wanted.turn_id, turn.server
+                    turn.server.ip, spec.turn_id, turn.server
                 )
 
     async def run(self) -> None:
@@ -157,103 +157,101 @@
         await self._end_reporter.run()
 
     async def _acquire(
-        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+        self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> tuple[turn_spec.Turn, bool]:
-        handling = self._suspects.record.handling(wanted.fingerprint)
+        handling = self._suspects.record.handling(spec.fingerprint)
         if handling is crash_record.Handling.REFUSED:
             raise isolation.barred_refusal(
-                self._suspects.record, wanted.fingerprint
+                self._suspects.record, spec.fingerprint
             )
         if handling is crash_record.Handling.ISOLATED:
-            return await self._acquire_isolated(wanted, excluded), True
+            return await self._acquire_isolated(spec, excluded), True
         replies = _Replies()
-        candidates = self._candidates.to_ask(wanted, excluded)
+        candidates = self._candidates.ranked_candidates(spec, excluded)
         acceptable_s = (
-            self._acceptable_wait_s(wanted) if len(candidates) > 1 else 0.0
+            self._acceptable_wait_s(spec) if len(candidates) > 1 else 0.0
         )
         for server in candidates:
-            turn = await self._try_server(
-                server, wanted, replies, acceptable_s
-            )
+            turn = await self._try_server(server, spec, replies, acceptable_s)
             if turn is not None:
                 return turn, True
-            if self._remaining_s(wanted) <= 0.0:
+            if self._remaining_s(spec) <= 0.0:
                 break
-        turn = await self._try_shortest_wait(candidates, wanted, replies)
+        turn = await self._try_shortest_wait(candidates, spec, replies)
         if turn is not None:
             return turn, True
         fallback = replies.fallback
         if fallback is None and not replies.refusals:
-            fallback = self._candidates.any_holding(wanted, excluded)
+            fallback = self._candidates.fallback_turn(spec, excluded)
         if fallback is not None:
             return fallback, False
         if replies.are_all_starting:
-            return await self._await_start(replies.starting[0], wanted), True
+            return await self._await_start(replies.starting[0], spec), True
         raise _earliest_retry(replies.refusals)
 
     async def _acquire_isolated(
-        self, wanted: turn_spec.TurnSpec, excluded: Collection[str]
+        self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> turn_spec.Turn:
         """Acquire a turn at the one engine that runs suspect requests."""
-        server = self._candidates.isolated(wanted, excluded)
+        server = self._candidates.isolation_server(spec, excluded)
         if server is None:
             raise _earliest_retry([])
         log.info(
             'suspect request isolated',
-            request_id=wanted.run_id,
-            fingerprint=wanted.fingerprint,
+            request_id=spec.run_id,
+            fingerprint=spec.fingerprint,
             backend_server=server.name,
         )
         try:
             return await self._request(
-                server, wanted, _Replies(), is_isolated=True
+                server, spec, _Replies(), is_isolated=True
             )
         except errors.NoReplyError as error:
-            self._record_silence(server, wanted, error)
+            self._record_silence(server, spec, error)
             raise _earliest_retry([]) from error
 
-    def _acceptable_wait_s(self, wanted: turn_spec.TurnSpec) -> float:
+    def _acceptable_wait_s(self, spec: turn_spec.TurnSpec) -> float:
         """Return the wait up to which an engine is accepted at once."""
-        remaining_s = wanted.target_at_s - self._clock.monotonic_s()
+        remaining_s = spec.target_at_s - self._clock.monotonic_s()
         return max(0.0, _ACCEPT_TARGET_RATIO * remaining_s)
 
     async def _try_shortest_wait(
         self,
         candidates: Sequence[backend_list.BackendServer],
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
         replies: _Replies,
     ) -> turn_spec.Turn | None:
         """Retry the server that reported the shortest wait."""
         refusing = [
             s for s in candidates if replies.refused_waits_s.get(s.name)
         ]
-        if not refusing or self._remaining_s(wanted) <= 0.0:
+        if not refusing or self._remaining_s(spec) <= 0.0:
             return None
         best = min(
             refusing, key=lambda server: replies.refused_waits_s[server.name]
         )
-        return await self._try_server(best, wanted, replies)
+        return await self._try_server(best, spec, replies)
 
     async def _try_server(
         self,
         server: backend_list.BackendServer,
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
         replies: _Replies,
         accept_within_s: float = 0.0,
     ) -> turn_spec.Turn | None:
         """Request a turn of one sidecar, and record why there is none."""
         try:
             return await self._request(
-                server, wanted, replies, accept_within_s=accept_within_s
+                server, spec, replies, accept_within_s=accept_within_s
             )
         except errors.NoReplyError as error:
-            self._record_silence(server, wanted, error)
+            self._record_silence(server, spec, error)
             if replies.fallback is None:
-                replies.fallback = turn_candidates.without_sidecar(
-                    server, wanted
+                replies.fallback = turn_candidates.unconfirmed_turn(
+                    server, spec
                 )
         except errors.RefusalError as error:
-            if not error.retry_elsewhere or self._is_suspect(wanted):
+            if not error.retry_elsewhere or self._is_suspect(spec):
                 raise
             replies.refusals.append(error)
             if error.kind is errors.ErrorKind.BACKEND_STARTING:
@@ -263,27 +261,27 @@
     async def _await_start(
         self,
         server: backend_list.BackendServer,
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
     ) -> turn_spec.Turn:
         """Acquire a turn at an engine that will serve within seconds."""
         log.info(
             'waiting for an engine to start',
-            request_id=wanted.run_id,
+            request_id=spec.run_id,
             backend_server=server.name,
-            left_ms=int(self._remaining_s(wanted) * _MS_PER_S),
+            left_ms=int(self._remaining_s(spec) * _MS_PER_S),
         )
         try:
             return await self._request(
-                server, wanted, _Replies(), waits_for_engine=True
+                server, spec, _Replies(), waits_for_engine=True
             )
         except errors.NoReplyError as error:
-            self._record_silence(server, wanted, error)
+            self._record_silence(server, spec, error)
             raise _earliest_retry([]) from error
 
     def _record_silence(
         self,
         server: backend_list.BackendServer,
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
         error: errors.NoReplyError,
     ) -> None:
         self._ejector.record_unresponsive(
@@ -291,7 +289,7 @@
         )
         log.warning(
             'sidecar not responding',
-            request_id=wanted.run_id,
+            request_id=spec.run_id,
             backend_server=server.name,
             error=str(error),
         )
@@ -299,7 +297,7 @@
     async def _request(
         self,
         server: backend_list.BackendServer,
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
         replies: _Replies,
         waits_for_engine: bool = False,
         accept_within_s: float = 0.0,
@@ -310,7 +308,7 @@
         try:
             return await self._request_until_settled(
                 server,
-                wanted,
+                spec,
                 replies,
                 waits_for_engine,
                 accept_within_s,
@@ -322,7 +320,7 @@
     async def _request_until_settled(
         self,
         server: backend_list.BackendServer,
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
         replies: _Replies,
         waits_for_engine: bool,
         accept_within_s: float,
@@ -330,29 +328,29 @@
     ) -> turn_spec.Turn:
         while True:
             now_s = self._clock.monotonic_s()
-            remaining_s = self._remaining_s(wanted)
+            remaining_s = self._remaining_s(spec)
             wait_s = max(0.0, min(_REPLY_WITHIN_S, remaining_s))
             request = turn_messages.TurnRequest(
                 entry=self._instance,
-                turn_id=wanted.turn_id,
-                run_id=wanted.run_id,
-                model=wanted.model,
-                adapter=wanted.adapter,
-                version=wanted.version,
-                route=wanted.route,
-                rank=wanted.rank,
-                prompt_tokens=wanted.prompt_tokens,
-                max_tokens=wanted.max_tokens,
-                expected_tokens=wanted.expected_tokens,
+                turn_id=spec.turn_id,
+                run_id=spec.run_id,
+                model=spec.model,
+                adapter=spec.adapter,
+                version=spec.version,
+                route=spec.route,
+                rank=spec.rank,
+                prompt_tokens=spec.prompt_tokens,
+                max_tokens=spec.max_tokens,
+                expected_tokens=spec.expected_tokens,
                 wait_ms=int(wait_s * _MS_PER_S),
                 start_within_ms=max(0, int(remaining_s * _MS_PER_S)),
-                target_ms=int((wanted.target_at_s - now_s) * _MS_PER_S),
-                deadline_ms=max(0, int((wanted.until_s - now_s) * _MS_PER_S)),
+                target_ms=int((spec.target_at_s - now_s) * _MS_PER_S),
+                deadline_ms=max(0, int((spec.until_s - now_s) * _MS_PER_S)),
                 waits_for_engine=waits_for_engine,
                 accept_within_ms=int(accept_within_s * _MS_PER_S),
-                organisation=wanted.organisation,
-                weight=wanted.weight,
-                fingerprint=wanted.fingerprint,
+                organisation=spec.organisation,
+                weight=spec.weight,
+                fingerprint=spec.fingerprint,
                 is_isolated=is_isolated,
                 suspects=self._suspects.exchange.update_for(server.ip),
             )
@@ -363,7 +361,7 @@
             except BaseException:
                 # The sidecar may have granted the turn although the caller
                 # left or the reply was lost.  The turn would stay occupied.
-                self._end_reporter.record(server.ip, wanted.turn_id)
+                self._end_reporter.record(server.ip, spec.turn_id)
                 raise
             self._ejector.record_success(
                 turn_candidates.sidecar_key(server.name)
@@ -381,34 +379,32 @@
                     reply.detail,
                     retry_after_s=reply.retry_after_ms / _MS_PER_S,
                 )
-            if not is_isolated and self._is_suspect(wanted):
-                self._end_reporter.record(server.ip, wanted.turn_id)
-                raise self._suspect_error(wanted)
+            if not is_isolated and self._is_suspect(spec):
+                self._end_reporter.record(server.ip, spec.turn_id)
+                raise self._suspect_error(spec)
             if not reply.is_pending:
                 turn = turn_spec.Turn(
                     self._granting_server(server, reply), reply.version
                 )
-                self._check_listed(wanted, server, turn)
+                self._check_listed(spec, server, turn)
                 return turn
             if remaining_s <= wait_s:
-                self._end_reporter.record(server.ip, wanted.turn_id)
+                self._end_reporter.record(server.ip, spec.turn_id)
                 raise errors.RefusalError(
                     errors.ErrorKind.DEADLINE_UNREACHABLE,
                     'no turn before the deadline of the request',
                 )
 
-    def _is_suspect(self, wanted: turn_spec.TurnSpec) -> bool:
-        handling = self._suspects.record.handling(wanted.fingerprint)
+    def _is_suspect(self, spec: turn_spec.TurnSpec) -> bool:
+        handling = self._suspects.record.handling(spec.fingerprint)
         return handling is not crash_record.Handling.FREE
 
-    def _suspect_error(
-        self, wanted: turn_spec.TurnSpec
-    ) -> errors.RefusalError:
+    def _suspect_error(self, spec: turn_spec.TurnSpec) -> errors.RefusalError:
         """Return the error for a request that became suspect meanwhile."""
         record = self._suspects.record
-        handling = record.handling(wanted.fingerprint)
+        handling = record.handling(spec.fingerprint)
         if handling is crash_record.Handling.REFUSED:
-            return isolation.barred_refusal(record, wanted.fingerprint)
+            return isolation.barred_refusal(record, spec.fingerprint)
         return isolation.isolation_refusal()
 
     def _granting_server(
@@ -428,7 +424,7 @@
 
     def _check_listed(
         self,
-        wanted: turn_spec.TurnSpec,
+        spec: turn_spec.TurnSpec,
         server: backend_list.BackendServer,
         turn: turn_spec.Turn,
     ) -> None:
@@ -437,8 +433,8 @@
         # knows.
         if turn.server.name != server.name:
             return
-        if self._servers.find_serving(wanted.service, server.name) is None:
-            self._end_reporter.record(server.ip, wanted.turn_id)
+        if self._servers.find_serving(spec.service, server.name) is None:
+            self._end_reporter.record(server.ip, spec.turn_id)
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING,
                 'the engine left while the turn was pending',
@@ -457,8 +453,8 @@
         self._on_configuration_version(server.ip, reply.configuration_version)
         self._on_entry_count(reply.entry_count)
 
-    def _remaining_s(self, wanted: turn_spec.TurnSpec) -> float:
-        return wanted.start_by_s - self._clock.monotonic_s()
+    def _remaining_s(self, spec: turn_spec.TurnSpec) -> float:
+        return spec.start_by_s - self._clock.monotonic_s()
 
 
 def _earliest_retry(
--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -105,7 +105,7 @@
             batch_forecast.BatchForecast(self._turns, queue.turn_count, clock),
             pacer,
         )
-        self._hint = hint_builder.HintBuilder(queue, adapters, pacer)
+        self._hint_builder = hint_builder.HintBuilder(queue, adapters, pacer)
         self._admission = admission_module.Admission(engine, source)
         self._run_durations = run_duration.RunDurationEstimator()
         self._awaiting_start_count = 0
@@ -118,7 +118,7 @@
         self, request: turn_messages.TurnRequest
     ) -> turn_messages.TurnReply:
         """Grant or refuse a turn, or reply that it is still pending."""
-        self._entries.note(request.entry)
+        self._entries.record(request.entry)
         if self._must_await_start(request):
             await self._await_start(request.wait_ms / _MS_PER_S)
             if self._must_await_start(request):
@@ -212,7 +212,7 @@
         # While turns are free, a further one delays no other organisation.
         if not wait.turn_s:
             return False
-        return fair_share.is_above(
+        return fair_share.is_exceeded(
             request, (turn.request for turn in self._turns.values())
         )
 
@@ -391,7 +391,7 @@
             retry_after_ms=retry_after_ms,
             configuration_version=self._configuration_version(),
             entry_count=len(self._entries),
-            hint=self._hint.now(),
+            hint=self._hint_builder.build(),
             started_at_ms=self._engine.started_at_ms,
             wait_ms=wait_ms,
         )
--- a/lacewingpitch/turn_spec.py
+++ b/lacewingpitch/turn_spec.py
@@ -1,4 +1,7 @@
-"""A turn at a model engine: what is asked for, and what is got."""
+"""Requirements for a turn at a model engine, and the granted turn.
+
+A turn is a lease on one of a backend server's concurrent execution slots.
+"""
 
 import dataclasses
 
@@ -8,23 +11,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnSpec:
-    """What a request needs of an engine.
+    """Requirements of a request for its turn at an engine.
 
     Parameters
     ----------
     start_by_s
-        Monotonic time after which its caller has given up waiting for
-        the beginning of an answer.
+        Monotonic time after which the caller no longer waits for the
+        beginning of an answer.
     target_at_s
         Monotonic time after which the first event is late.
     until_s
-        Monotonic time at which its final answer is due.
+        Monotonic time at which the final answer is due.
     organisation
-        Whose request it is; empty if nobody's.
+        Organisation that sends the request; empty if none.
     weight
-        Share of its organisation where organisations compete.
+        Weight of the organisation relative to others.
     fingerprint
-        Of the request; see `request_fingerprint`.
+        Fingerprint of the request; see `request_fingerprint`.
     """
 
     run_id: str
@@ -47,7 +50,7 @@
 
     @property
     def key(self) -> str:
-        """Return the name under which the adapter is placed."""
+        """Return the adapter's name for placement; empty without one."""
         if not self.adapter:
             return ''
         return adapter_versions.slot_name(
@@ -67,7 +70,7 @@
     Parameters
     ----------
     version
-        Version of the adapter that the engine holds; 0 if not known.
+        Version of the adapter that the engine holds; 0 if unknown.
     """
 
     server: backend_list.BackendServer
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Whether an organisation takes more of an engine than its share."""
+"""Detection of organisations above their fair share of an engine."""
 
 import msgspec
 
@@ -12,18 +12,18 @@
     )
 
 
-class TestIsAbove:
-    def test_one_that_has_most_of_the_turns(self):
+class TestIsExceeded:
+    def test_organisation_with_most_turns_exceeds_its_share(self):
         others = [request('a')] * 9 + [request('b')]
-        assert fair_share.is_above(request('a'), others)
-        assert not fair_share.is_above(request('b'), others)
+        assert fair_share.is_exceeded(request('a'), others)
+        assert not fair_share.is_exceeded(request('b'), others)
 
-    def test_not_one_alone(self):
-        assert not fair_share.is_above(request('a'), [request('a')] * 30)
+    def test_single_organisation_may_use_all(self):
+        assert not fair_share.is_exceeded(request('a'), [request('a')] * 30)
 
-    def test_not_one_that_may_have_more(self):
+    def test_weight_allows_more_turns(self):
         others = [request('a', 9.0)] * 9 + [request('b')]
-        assert not fair_share.is_above(request('a', 9.0), others)
+        assert not fair_share.is_exceeded(request('a', 9.0), others)
 
-    def test_nobody_where_there_are_no_organisations(self):
-        assert not fair_share.is_above(request(''), [request('')] * 30)
+    def test_requests_without_organisation_are_not_limited(self):
+        assert not fair_share.is_exceeded(request(''), [request('')] * 30)
--- a/tests/test_service_balancer.py
+++ b/tests/test_service_balancer.py
@@ -1,4 +1,4 @@
-"""Which server of a plain service gets a request."""
+"""Selection of a plain service's server for a request."""
 
 import contextlib
 import random
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def choice(clock, ejector):
+def balancer(clock, ejector):
     servers = backend_list.BackendList(clock)
     servers.replace_all(
         backend_list.BackendServer(
@@ -37,39 +37,39 @@
 
 
 class TestChoose:
-    def test_prefers_its_own_zone(self, choice):
-        zones = {choice.choose('s', ()).availability_zone for _ in range(50)}
+    def test_prefers_its_own_zone(self, balancer):
+        zones = {balancer.choose('s', ()).availability_zone for _ in range(50)}
         assert zones == {'p'}
 
-    def test_goes_further_when_its_zone_is_busy(self, choice):
-        own = [choice.choose('s', ['p2']), choice.choose('s', ['p1'])]
-        with contextlib.ExitStack() as exits:
+    def test_uses_another_zone_when_its_own_is_busy(self, balancer):
+        own = [balancer.choose('s', ['p2']), balancer.choose('s', ['p1'])]
+        with contextlib.ExitStack() as stack:
             for server in own * 10:
-                exits.enter_context(choice.track_request(server))
-            assert choice.choose('s', ()).availability_zone == 'q'
-        assert choice.choose('s', ()).availability_zone == 'p'
+                stack.enter_context(balancer.track_request(server))
+            assert balancer.choose('s', ()).availability_zone == 'q'
+        assert balancer.choose('s', ()).availability_zone == 'p'
 
-    def test_leaves_out_the_excluded(self, choice):
-        assert choice.choose('s', ['p1', 'p2', 'q1']).name == 'q2'
-        assert choice.choose('s', ['p1', 'p2', 'q1', 'q2']) is None
-        assert choice.choose('other', ()) is None
+    def test_excluded_servers_are_left_out(self, balancer):
+        assert balancer.choose('s', ['p1', 'p2', 'q1']).name == 'q2'
+        assert balancer.choose('s', ['p1', 'p2', 'q1', 'q2']) is None
+        assert balancer.choose('other', ()) is None
 
-    def test_leaves_one_that_fails_part_of_its_requests(self, choice, ejector):
-        """Half of a zone's watering commands fail, for as long as it lasts.
+    def test_partially_failing_server_is_avoided(self, balancer, ejector):
+        """Guards against a server whose failures stay undetected.
 
-        A server answers its health check and fails every second request;
-        it never fails three in a row.
+        The server passes its health check and fails every second request,
+        never three in a row, so that half of the requests of a zone fail.
         """
         for _ in range(6):
             ejector.record_failure('p1')
             ejector.record_success('p1')
-        names = {choice.choose('s', ()).name for _ in range(50)}
+        names = {balancer.choose('s', ()).name for _ in range(50)}
         assert names == {'p2'}
 
-    def test_gives_it_another_chance(self, choice, ejector, clock):
+    def test_failing_server_is_retried_later(self, balancer, ejector, clock):
         for _ in range(6):
             ejector.record_failure('p1')
             ejector.record_success('p1')
         clock.now_s += 30.0
-        names = {choice.choose('s', ()).name for _ in range(50)}
+        names = {balancer.choose('s', ()).name for _ in range(50)}
         assert names == {'p1', 'p2'}
--- a/tests/test_startup_grace.py
+++ b/tests/test_startup_grace.py
@@ -1,4 +1,4 @@
-"""How long requests wait for a process that has just started."""
+"""Grace period of a process that has just started."""
 
 import pytest
 
@@ -12,28 +12,28 @@
 
 
 @pytest.fixture
-def wait(clock):
+def grace(clock):
     return startup_grace.StartupGrace(clock)
 
 
 class TestStartupGrace:
-    def test_is_as_long_as_a_start_takes(self, wait, clock):
-        """Callers are refused although their process serves soon after.
+    def test_lasts_for_a_start(self, grace, clock):
+        """Guards against refusals although the process serves soon after.
 
-        All processes were killed, and the store is away for a second
-        more.  Those that were cut off have one try left.
+        All processes were killed, and the store is unreachable for another
+        second.  Callers whose connections were lost have one retry left.
         """
         clock.now_s += 20.0
-        wait.begin()
-        assert wait.left_s(12.0) == pytest.approx(1.5)
+        grace.begin()
+        assert grace.left_s(12.0) == pytest.approx(1.5)
         clock.now_s += 1.0
-        assert wait.left_s(12.0) == pytest.approx(0.5)
+        assert grace.left_s(12.0) == pytest.approx(0.5)
 
-    def test_then_requests_are_refused_at_once(self, wait, clock):
-        """Each caller waits in vain while the store is down for long."""
+    def test_requests_do_not_wait_after_it(self, grace, clock):
+        """Guards against futile waits during a long outage of the store."""
         clock.now_s += 2.0
-        assert wait.left_s(12.0) == 0.0
+        assert grace.left_s(12.0) == 0.0
 
-    def test_leaves_the_caller_time_to_come_back(self, wait):
-        assert wait.left_s(0.9) == pytest.approx(0.3)
-        assert wait.left_s(0.0) == pytest.approx(1.5)
+    def test_caller_keeps_time_for_a_retry(self, grace):
+        assert grace.left_s(0.9) == pytest.approx(0.3)
+        assert grace.left_s(0.0) == pytest.approx(1.5)
