--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -156,7 +156,7 @@
         return turn.task.result()
 
     async def end_turns(self, turn_ids: Iterable[str]) -> None:
-        """End turns."""
+        """End turns that are finished or no longer needed."""
         for turn_id in turn_ids:
             turn = self._turns.get(turn_id)
             if turn is not None:
@@ -180,7 +180,7 @@
         for turn_id, turn in list(self._turns.items()):
             if turn.request.run_id in run_ids:
                 turn.last_reported_s = polled_at_s
-            if now_s >= turn.until_s or (
+            if now_s >= turn.deadline_at_s or (
                 not is_queueing and turn.is_missing(polled_at_s)
             ):
                 self._outcomes.record_lapsed(turn, now_s)
@@ -237,12 +237,12 @@
         wait: wait_estimator.WaitEstimate,
     ) -> turn_lease.TurnLease:
         now_s = self._clock.monotonic_s()
-        until_s = now_s + request.deadline_ms / _MS_PER_S
+        deadline_at_s = now_s + request.deadline_ms / _MS_PER_S
         turn = turn_lease.TurnLease(
-            request, now_s, until_s, wait, self._expected_run_s(request)
+            request, now_s, deadline_at_s, wait, self._expected_run_s(request)
         )
         self._turns[request.turn_id] = turn
-        turn.expected.enter_context(
+        turn.expected_prompt.enter_context(
             self._pacer.expecting(request.prompt_tokens)
         )
         turn.task = asyncio.create_task(self._acquire(turn))
@@ -276,16 +276,16 @@
         turn.record_step(self._clock.monotonic_s())
         if name:
             waited_s = self._clock.monotonic_s() - turn.requested_at_s
-            left_s = request.start_within_ms / _MS_PER_S - waited_s
+            remaining_s = request.start_within_ms / _MS_PER_S - waited_s
             await turn.resources.enter_async_context(
                 self._adapters.hold(
-                    name, left_s, use_s=self._expected_slot_use_s(request)
+                    name, remaining_s, use_s=self._expected_slot_use_s(request)
                 )
             )
         turn.record_step(self._clock.monotonic_s())
         await turn.resources.enter_async_context(reservation.turn())
         turn.record_step(self._clock.monotonic_s())
-        turn.expected.close()
+        turn.expected_prompt.close()
         await self._pacer.admit(
             request.prompt_tokens, request.flow, request.rank, request.weight
         )
@@ -324,7 +324,7 @@
             if not turn.task.done():
                 turn.task.cancel()
                 await asyncio.wait([turn.task])
-        turn.expected.close()
+        turn.expected_prompt.close()
         await turn.resources.aclose()
 
     def _slot_name(self, request: turn_messages.TurnRequest) -> str:
--- a/lacewingpitch/turn_lease.py
+++ b/lacewingpitch/turn_lease.py
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    until_s
+    deadline_at_s
         Deadline of the request.
     wait_estimate
         Estimate made when the request was admitted.
@@ -37,7 +37,7 @@
         Expected duration of the run.
     last_reported_s
         When a report that showed the run was requested; None before.
-    expected
+    expected_prompt
         Closed once the prompt no longer counts as expected by the pacer.
     resources
         Queue reservation, adapter and turn, released together.
@@ -45,14 +45,14 @@
 
     request: turn_messages.TurnRequest
     requested_at_s: float
-    until_s: float
+    deadline_at_s: float
     wait_estimate: wait_estimator.WaitEstimate
     run_s: float = 0.0
     task: asyncio.Task[turn_messages.TurnReply] | None = None
     refusal: errors.RefusalError | None = None
     granted_at_s: float | None = None
     last_reported_s: float | None = None
-    expected: contextlib.ExitStack = dataclasses.field(
+    expected_prompt: contextlib.ExitStack = dataclasses.field(
         default_factory=contextlib.ExitStack
     )
     resources: contextlib.AsyncExitStack = dataclasses.field(
--- a/lacewingpitch/turn_metrics.py
+++ b/lacewingpitch/turn_metrics.py
@@ -92,7 +92,7 @@
             'turn lapsed',
             request_id=turn.request.run_id,
             age_s=round(now_s - turn.requested_at_s, 3),
-            past_deadline=now_s >= turn.until_s,
+            past_deadline=now_s >= turn.deadline_at_s,
         )
 
     def _observe_errors(
