--- a/tests/test_batch_forecast.py
+++ b/tests/test_batch_forecast.py
@@ -112,7 +112,7 @@
                 tokens = int(source.uniform(100, 500))
                 told = int(tokens * source.uniform(0.5, 1.7))
                 started_s = scene.clock.monotonic_s()
-                reply = await scene.ask(
+                reply = await scene.request_turn(
                     name,
                     adapter=f'a{number % 4}',
                     wait_ms=5000,
@@ -126,7 +126,7 @@
                 scene.engine.runs.add(name)
                 await asyncio.sleep(tokens * 0.005)
                 scene.engine.runs.discard(name)
-                await scene.end(name)
+                await scene.end_turn(name)
 
             await asyncio.gather(*map(one, range(self.REQUEST_COUNT)))
 
--- a/tests/test_engine_controller.py
+++ b/tests/test_engine_controller.py
@@ -55,7 +55,7 @@
         self._running.cancel()
         await self.controller.close()
 
-    async def ask(self, name, adapter='a', **fields):
+    async def request_turn(self, name, adapter='a', **fields):
         request = {
             'entry': 'edge-1',
             'turn_id': f'{name}.1',
@@ -76,23 +76,27 @@
             turn_messages.TurnRequest(**{**request, **fields})
         )
 
-    async def settle(self, name):
-        """Ask for a turn, and go on, as an entry does when none serves."""
+    async def request_until_settled(self, name):
+        """Request a turn until settled, as an entry does if none serves."""
         while True:
-            reply = await self.ask(name, waits_for_engine=True, wait_ms=400)
+            reply = await self.request_turn(
+                name, waits_for_engine=True, wait_ms=400
+            )
             if not reply.is_pending:
                 return reply.refusal, reply.backend_server
 
-    async def wait_behind_runs(self):
-        """Return the asking of one that waits while all places are kept."""
+    async def request_behind_runs(self):
+        """Return a pending request while runs occupy all adapter slots."""
         for name in ('a', 'b', 'c'):
-            await self.ask(name, adapter=name)
+            await self.request_turn(name, adapter=name)
             self.engine.runs.add(name)
-        waiting = asyncio.create_task(self.ask('d', adapter='d', wait_ms=3000))
+        waiting = asyncio.create_task(
+            self.request_turn('d', adapter='d', wait_ms=3000)
+        )
         await asyncio.sleep(0.1)
         return waiting
 
-    async def end(self, name):
+    async def end_turn(self, name):
         await self.controller.end_turns(
             turn_messages.TurnEnds(turn_ids=(f'{name}.1',))
         )
@@ -108,9 +112,9 @@
 
 
 class TestTurn:
-    def test_is_granted_once_the_adapter_is_held(self):
+    def test_granted_once_the_adapter_is_held(self):
         async def story(scene):
-            reply = await scene.ask('one')
+            reply = await scene.request_turn('one')
             assert reply.refusal is None
             assert reply.backend_server == 'i-1'
             assert reply.version == 1
@@ -119,55 +123,55 @@
 
         play(story)
 
-    def test_says_how_many_entries_ask(self):
+    def test_reports_the_number_of_active_entries(self):
         async def story(scene):
-            await scene.ask('one', entry='edge-1')
-            reply = await scene.ask('two', entry='edge-2')
+            await scene.request_turn('one', entry='edge-1')
+            reply = await scene.request_turn('two', entry='edge-2')
             assert reply.entry_count == 2
             await asyncio.sleep(11.0)
-            reply = await scene.ask('three', entry='edge-1')
+            reply = await scene.request_turn('three', entry='edge-1')
             assert reply.entry_count == 1
 
         play(story)
 
-    def test_asking_again_is_idempotent(self):
+    def test_repeated_request_is_idempotent(self):
         async def story(scene):
             first, second = await asyncio.gather(
-                scene.ask('one'), scene.ask('one')
+                scene.request_turn('one'), scene.request_turn('one')
             )
             assert first.refusal is None and second.refusal is None
             assert len(scene.controller.granter) == 1
 
         play(story)
 
-    def test_says_that_it_is_pending_instead_of_staying_silent(self):
+    def test_pending_turn_is_reported_within_the_wait(self):
         async def story(scene):
-            reply = await scene.ask('one', wait_ms=50)
+            reply = await scene.request_turn('one', wait_ms=50)
             assert reply.is_pending
-            reply = await scene.ask('one')
+            reply = await scene.request_turn('one')
             assert not reply.is_pending and reply.refusal is None
 
         play(story)
 
     def test_the_base_model_needs_no_adapter(self):
         async def story(scene):
-            reply = await scene.ask('one', adapter='')
+            reply = await scene.request_turn('one', adapter='')
             assert reply.refusal is None
             assert scene.engine.held == {}
 
         play(story)
 
-    def test_what_starts_too_late_is_refused_at_once(self):
-        """Callers leave after three seconds without any answer.
+    def test_late_requests_are_refused_at_once(self):
+        """Guards against callers that time out without any answer.
 
-        More prompts come than the engine can read, each of them waits
-        behind all others, and all are late.
+        More prompts arrive than the engine can read; if each waits behind
+        all others, all are late.
         """
 
         async def story(scene):
             waits = [
                 asyncio.create_task(
-                    scene.ask(f'r{n}', adapter='', prompt_tokens=3000)
+                    scene.request_turn(f'r{n}', adapter='', prompt_tokens=3000)
                 )
                 for n in range(30)
             ]
@@ -181,34 +185,35 @@
         limits = routing.EngineLimits(64, 3, (fake_engine.MODEL,))
         play(story, limits=limits)
 
-    def test_slow_loads_do_not_refuse_what_comes_later(self):
-        """An idle engine refuses every adapter that it does not hold.
+    def test_slow_loads_do_not_refuse_later_requests(self):
+        """Guards against an idle engine that refuses adapters for good.
 
-        Some loads took seconds.  Nothing is loaded after that, so that
-        nothing shows that loads are quick again.
+        After some loads took seconds, every request that needs a load is
+        refused by their estimate, so that no load shows that they are
+        fast again.
         """
 
         async def story(scene):
             scene.engine.load_s = 3.0
             for name in ('a', 'b'):
-                await scene.ask(name, adapter=name, wait_ms=4000)
-                await scene.end(name)
+                await scene.request_turn(name, adapter=name, wait_ms=4000)
+                await scene.end_turn(name)
             scene.engine.load_s = 0.25
-            reply = await scene.ask('c', adapter='c')
+            reply = await scene.request_turn('c', adapter='c')
             assert reply.refusal is None
 
         play(story)
 
 
 class TestLease:
-    def test_a_turn_that_ended_makes_room(self):
+    def test_ended_turn_frees_its_slot(self):
         async def story(scene):
             for name in ('a', 'b', 'c'):
-                await scene.ask(name, adapter=name)
-            late = await scene.ask('d', adapter='d', wait_ms=400)
+                await scene.request_turn(name, adapter=name)
+            late = await scene.request_turn('d', adapter='d', wait_ms=400)
             assert late.is_pending
-            await scene.end('a')
-            reply = await scene.ask('d', adapter='d')
+            await scene.end_turn('a')
+            reply = await scene.request_turn('d', adapter='d')
             assert reply.refusal is None
             assert 'm/d' in scene.engine.held
             assert 'm/a' not in scene.engine.held
@@ -216,24 +221,23 @@
         scene = play(story)
         assert scene.engine.crash_count == 0
 
-    def test_lapses_when_its_entry_is_lost(self):
-        """An engine's places fill up, and it is idle.
+    def test_turn_of_a_lost_entry_lapses(self):
+        """Guards against an idle engine whose turns are all occupied.
 
-        An entry is killed after it was granted turns, and never says
-        that they have ended.
+        An entry is killed after it was granted turns, and never ends them.
         """
 
         async def story(scene):
-            await scene.ask('lost')
+            await scene.request_turn('lost')
             assert len(scene.controller.granter) == 1
             await asyncio.sleep(2.0)
             assert len(scene.controller.granter) == 0
 
         play(story)
 
-    def test_stays_while_the_engine_works_on_its_run(self):
+    def test_turn_lasts_while_its_run_is_reported(self):
         async def story(scene):
-            await scene.ask('long')
+            await scene.request_turn('long')
             scene.engine.runs.add('long')
             await asyncio.sleep(4.0)
             assert len(scene.controller.granter) == 1
@@ -243,47 +247,49 @@
 
         play(story)
 
-    def test_giving_up_while_waiting_frees_all(self):
+    def test_ending_a_pending_turn_frees_its_resources(self):
         async def story(scene):
-            asked = asyncio.create_task(scene.ask('one'))
+            requesting = asyncio.create_task(scene.request_turn('one'))
             await asyncio.sleep(0.05)
-            await scene.end('one')
-            assert (await asked).refusal is errors.ErrorKind.CALLER_GONE
+            await scene.end_turn('one')
+            assert (await requesting).refusal is errors.ErrorKind.CALLER_GONE
             assert len(scene.controller.granter) == 0
-            assert (await scene.ask('two')).refusal is None
+            assert (await scene.request_turn('two')).refusal is None
 
         play(story)
 
 
 class TestEngine:
-    def test_without_a_configuration_it_says_that_it_starts(self):
+    def test_refused_as_starting_without_a_configuration(self):
         async def story(scene):
-            reply = await scene.ask('one')
+            reply = await scene.request_turn('one')
             assert reply.refusal is errors.ErrorKind.QUEUE_FULL
             scene.configure(LIMITS)
             await asyncio.sleep(0.5)
-            assert (await scene.ask('two')).refusal is None
+            assert (await scene.request_turn('two')).refusal is None
 
         play(story, limits=None)
 
-    def test_asked_as_it_starts_it_answers_once_it_is_ready(self):
-        """All callers are refused for a moment after a restart.
+    def test_request_during_startup_waits_until_ready(self):
+        """Guards against refusals for a moment after a common restart.
 
-        Entries and sidecars start together.  An entry's first requests
-        come while the sidecar still reads its configuration.
+        Entries and sidecars start together, and the first requests arrive
+        while the sidecar still reads its configuration.
         """
 
         async def story(scene):
-            asked = asyncio.create_task(scene.ask('one', wait_ms=900))
+            requesting = asyncio.create_task(
+                scene.request_turn('one', wait_ms=900)
+            )
             await asyncio.sleep(0.1)
             scene.configure(LIMITS)
-            reply = await asked
+            reply = await requesting
             assert reply.refusal is None
             assert not reply.is_pending
 
         play(story, limits=None)
 
-    def test_it_is_taken_over_as_soon_as_its_limits_are_known(self):
+    def test_granting_starts_when_the_limits_are_known(self):
         async def story(scene):
             scene.configure(LIMITS)
             await asyncio.sleep(0.06)
@@ -291,17 +297,17 @@
 
         play(story, limits=None)
 
-    def test_adapters_of_an_earlier_sidecar_give_way_when_unused(self):
-        """Callers wait for seconds after a sidecar has restarted.
+    def test_unused_adapters_of_an_earlier_sidecar_are_evicted(self):
+        """Guards against long waits after a sidecar has restarted.
 
-        Its engine's slots are all taken by adapters that were loaded
-        before, and nothing runs on them any more.
+        The engine's slots are all occupied by adapters that were loaded
+        before, and that no run uses any more.
         """
 
         async def story(scene):
             scene.configure(LIMITS)
             await asyncio.sleep(0.5)
-            reply = await scene.ask('one', adapter='d', wait_ms=900)
+            reply = await scene.request_turn('one', adapter='d', wait_ms=900)
             assert reply.refusal is None
             assert not reply.is_pending
 
@@ -309,64 +315,64 @@
         scene = play(story, limits=None, held=held)
         assert scene.engine.crash_count == 0
 
-    def test_an_empty_one_gets_its_model(self):
-        """Every request of an engine that restarted waits for nothing.
+    def test_restarted_engine_gets_its_model(self):
+        """Guards against requests that wait in vain at a restarted engine.
 
-        It restarts without its base model, and refuses each adapter.
+        The engine restarts without its base model and refuses each adapter.
         """
 
         async def story(scene):
-            await scene.ask('one')
+            await scene.request_turn('one')
             scene.engine.restart('i-2')
             await asyncio.sleep(3.0)
             assert scene.engine.model_orders == [fake_engine.MODEL]
-            reply = await scene.ask('two')
+            reply = await scene.request_turn('two')
             assert reply.refusal is None
             assert reply.backend_server == 'i-2'
 
         play(story)
 
-    def test_one_that_restarts_between_two_reports_gets_its_model(self):
-        """An engine serves nobody until its sidecar restarts.
+    def test_engine_restarted_between_two_reports_gets_its_model(self):
+        """Guards against an engine that stays without a model.
 
-        It restarts so fast that no report is missed, and had taken no
-        order before: its report looks like that of the one before.
+        It restarts so fast that no report is missed, and had accepted no
+        order before, so that its report looks the same as the previous one.
         """
 
         async def story(scene):
             scene.engine.restart('i-2')
             await asyncio.sleep(3.0)
-            reply = await scene.ask('one')
+            reply = await scene.request_turn('one')
             assert (reply.refusal, reply.backend_server) == (None, 'i-2')
 
         play(story)
 
-    def test_while_it_starts_those_that_may_wait_do(self):
-        """Callers are refused twice, and give up, as engines restart.
+    def test_requests_may_wait_for_a_starting_engine(self):
+        """Guards against callers refused twice while engines restart.
 
-        All engines lose their power and come back without a model.  Each
-        loads it in a second or two; callers that are refused come back
-        once, and most find it still loading.
+        After a power failure all engines start without a model and load it
+        in a second or two.  Callers that are refused retry once, and most
+        find the engine still loading.
         """
 
         async def story(scene):
             scene.engine.restart('i-2')
             await asyncio.sleep(0.4)
-            reply = await scene.ask('one')
+            reply = await scene.request_turn('one')
             assert reply.refusal is errors.ErrorKind.BACKEND_STARTING
             assert reply.retry_after_ms > 0
-            assert await scene.settle('two') == (None, 'i-2')
+            assert await scene.request_until_settled('two') == (None, 'i-2')
 
         play(story)
 
-    def test_none_waits_for_a_start_that_ends_too_late(self):
-        """A caller is told only at its deadline that it was in vain."""
+    def test_no_wait_for_a_start_beyond_the_deadline(self):
+        """Guards against refusing a caller only at its deadline."""
 
         async def story(scene):
             scene.engine.restart('i-2')
             await asyncio.sleep(0.3)
             started_s = scene.clock.monotonic_s()
-            reply = await scene.ask(
+            reply = await scene.request_turn(
                 'one', waits_for_engine=True, start_within_ms=500
             )
             assert reply.refusal is errors.ErrorKind.BACKEND_STARTING
@@ -374,22 +380,22 @@
 
         play(story)
 
-    def test_none_waits_for_an_engine_that_does_not_come(self):
-        """Requests hang at an engine whose model never loads, or that died.
+    def test_no_wait_for_an_engine_that_fails_to_start(self):
+        """Guards against requests that wait for an engine that fails.
 
-        Those that wait are refused at once when it is lost, and nobody
-        waits any more once it takes longer than any start.
+        Waiting requests are refused at once when the engine is lost, and no
+        request waits once the start takes longer than any normal start.
         """
 
         async def story(scene):
             scene.engine.is_load_lost = True
             scene.engine.restart('i-2')
             await asyncio.sleep(8.0)
-            reply = await scene.ask('one', waits_for_engine=True)
+            reply = await scene.request_turn('one', waits_for_engine=True)
             assert reply.refusal is errors.ErrorKind.DRAINING
             scene.engine.restart('i-3')
             await asyncio.sleep(0.4)
-            waiting = asyncio.create_task(scene.settle('two'))
+            waiting = asyncio.create_task(scene.request_until_settled('two'))
             await asyncio.sleep(0.1)
             scene.engine.is_up = False
             started_s = scene.clock.monotonic_s()
@@ -399,44 +405,44 @@
 
         play(story)
 
-    def test_waiting_for_its_start_is_bounded(self):
-        """An entry sends all that comes to one engine, which then fails.
+    def test_waiting_requests_are_limited_during_a_start(self):
+        """Guards against an unlimited number of waiting requests.
 
-        Each that waits takes memory; a burst at five times the load would
-        wait for an engine that can serve a part of it.
+        Each waiting request takes memory, and a burst of five times the
+        load would wait for an engine that can serve a part of it.
         """
 
         async def story(scene):
             scene.engine.restart('i-2')
             await asyncio.sleep(0.3)
-            asked = [
-                scene.ask(f'r{n}', waits_for_engine=True, wait_ms=100)
+            requesting = [
+                scene.request_turn(f'r{n}', waits_for_engine=True, wait_ms=100)
                 for n in range(400)
             ]
-            replies = await asyncio.gather(*asked)
+            replies = await asyncio.gather(*requesting)
             pending = sum(reply.is_pending for reply in replies)
             assert pending == 128
 
         play(story)
 
-    def test_one_that_leaves_refuses_at_once(self):
+    def test_leaving_engine_refuses_at_once(self):
         async def story(scene):
             scene.engine.is_leaving = True
             await asyncio.sleep(0.5)
-            reply = await scene.ask('one')
+            reply = await scene.request_turn('one')
             assert reply.refusal is errors.ErrorKind.DRAINING
 
         play(story)
 
-    def test_one_that_leaves_refuses_those_that_wait(self):
-        """A request reaches an engine seconds after it began to leave.
+    def test_leaving_engine_refuses_pending_turns(self):
+        """Guards against requests sent to an engine that is leaving.
 
-        It waited for a place for its adapter while the engine said that it
-        leaves, and was granted its turn when a run had ended.
+        A request waits for an adapter slot while the engine announces that
+        it is leaving, and would get its turn when a run has ended.
         """
 
         async def story(scene):
-            waiting = await scene.wait_behind_runs()
+            waiting = await scene.request_behind_runs()
             scene.engine.is_leaving = True
             reply = await asyncio.wait_for(waiting, 0.5)
             assert reply.refusal is errors.ErrorKind.DRAINING
@@ -444,56 +450,58 @@
 
         play(story)
 
-    def test_one_that_is_down_refuses_those_that_wait(self):
-        """Callers wait for seconds at an engine that crashed."""
+    def test_stopped_engine_refuses_pending_turns(self):
+        """Guards against callers that wait for seconds after a crash."""
 
         async def story(scene):
-            waiting = await scene.wait_behind_runs()
+            waiting = await scene.request_behind_runs()
             scene.engine.is_up = False
             reply = await asyncio.wait_for(waiting, 1.5)
             assert reply.refusal is errors.ErrorKind.DRAINING
 
         play(story)
 
-    def test_a_new_version_replaces_the_old(self):
+    def test_new_version_replaces_the_old(self):
         async def story(scene):
-            await scene.ask('one')
-            await scene.end('one')
+            await scene.request_turn('one')
+            await scene.end_turn('one')
             scene.versions.record('m', 'a', 2)
-            reply = await scene.ask('two')
+            reply = await scene.request_turn('two')
             assert reply.version == 2
             assert scene.engine.held == {'m/a': 2}
 
         play(story)
 
-    def test_it_is_ordered_no_more_loads_than_it_takes_at_once(self):
-        """A request waits for a second although its load is quick.
+    def test_concurrent_loads_are_limited(self):
+        """Guards against long waits for loads that are fast by themselves.
 
-        More adapters are wanted than the engine takes at once.  Orders
-        that it refuses are given again and again, and which of them it
-        takes next is chance.
+        More adapters are required than the engine loads at once.  If
+        refused orders are repeated until accepted, chance decides which
+        load is next.
         """
 
         async def story(scene):
-            asked = [
-                asyncio.create_task(scene.ask(f'r{n}', adapter=f'a{n}'))
+            requesting = [
+                asyncio.create_task(
+                    scene.request_turn(f'r{n}', adapter=f'a{n}')
+                )
                 for n in range(9)
             ]
-            most = 0
-            while not all(task.done() for task in asked):
-                most = max(most, len(scene.engine.pending))
+            max_pending = 0
+            while not all(task.done() for task in requesting):
+                max_pending = max(max_pending, len(scene.engine.pending))
                 await asyncio.sleep(0.01)
-            assert most == 4
-            assert all(task.result().refusal is None for task in asked)
+            assert max_pending == 4
+            assert all(task.result().refusal is None for task in requesting)
 
         limits = routing.EngineLimits(16, 12, (fake_engine.MODEL,))
         play(story, limits=limits, slot_count=12)
 
-    def test_it_is_given_no_more_than_its_memory_holds(self):
+    def test_held_adapters_are_limited_by_memory(self):
         async def story(scene):
             for name in ('a', 'b', 'c'):
-                await scene.ask(name, adapter=name, wait_ms=900)
-                await scene.end(name)
+                await scene.request_turn(name, adapter=name, wait_ms=900)
+                await scene.end_turn(name)
             assert set(scene.engine.held) == {'m/b', 'm/c'}
 
         size = routing.ModelSize(weights_mb=1000.0, adapter_mb=50.0)
@@ -507,18 +515,18 @@
         scene = play(story, limits=limits, slot_count=2)
         assert scene.engine.crash_count == 0
 
-    def test_many_adapters_in_turn_never_crash_it(self):
+    def test_many_adapters_never_crash_the_engine(self):
         async def story(scene):
             async def one(number):
                 await asyncio.sleep(number * 0.05)
-                reply = await scene.ask(
+                reply = await scene.request_turn(
                     f'r{number}', adapter=f'a{number % 17}', wait_ms=3000
                 )
                 if reply.refusal is None:
                     scene.engine.runs.add(f'r{number}')
                     await asyncio.sleep(0.3)
                     scene.engine.runs.discard(f'r{number}')
-                    await scene.end(f'r{number}')
+                    await scene.end_turn(f'r{number}')
                 return reply
 
             replies = await asyncio.gather(*map(one, range(120)))
@@ -529,26 +537,26 @@
         assert scene.engine.crash_count == 0
 
 
-class TestSameName:
-    """An engine starts again under the name that it had."""
+class TestRestartUnderTheSameName:
+    """An engine restarts under the same name."""
 
-    def test_nothing_of_before_is_believed(self):
-        """Requests are granted turns with an adapter that is not there.
+    def test_state_before_the_restart_is_discarded(self):
+        """Guards against turns granted for an adapter that isn't loaded.
 
-        The engine restarts between two reports, and by the next one has
-        taken more orders than before, so that its count does not fall.
+        The engine restarts between two reports, and by the next one it has
+        accepted more orders than before, so that its count doesn't fall.
         """
 
         async def story(scene):
-            await scene.ask('one')
-            await scene.ask('two', adapter='b')
+            await scene.request_turn('one')
+            await scene.request_turn('two', adapter='b')
             scene.engine.restart('i-1', started_at_ms=2000)
             scene.engine.models.add(fake_engine.MODEL)
             scene.engine.order_count = 9
             await asyncio.sleep(0.5)
             assert len(scene.controller.granter) == 0
             loads = len(scene.engine.loads)
-            reply = await scene.ask('three')
+            reply = await scene.request_turn('three')
             assert reply.refusal is None
             assert reply.started_at_ms == 2000
             assert scene.engine.loads[loads:] == ['m/a']
@@ -556,23 +564,25 @@
         scene = play(story)
         assert scene.engine.crash_count == 0
 
-    def test_a_load_of_before_is_ordered_again(self):
-        """A request waits for a load that died with the engine."""
+    def test_load_before_the_restart_is_ordered_again(self):
+        """Guards against waiting for a load that was lost at a restart."""
 
         async def story(scene):
-            asked = asyncio.create_task(scene.ask('one', wait_ms=3000))
+            requesting = asyncio.create_task(
+                scene.request_turn('one', wait_ms=3000)
+            )
             await asyncio.sleep(0.1)
             scene.engine.restart('i-1', started_at_ms=2000)
             scene.engine.models.add(fake_engine.MODEL)
             scene.engine.order_count = 9
-            reply = await asyncio.wait_for(asked, 2.5)
+            reply = await asyncio.wait_for(requesting, 2.5)
             assert reply.refusal is not None or 'm/a' in scene.engine.held
-            assert (await scene.ask('two')).refusal is None
+            assert (await scene.request_turn('two')).refusal is None
             assert 'm/a' in scene.engine.held
 
         play(story)
 
-    def test_a_report_of_before_changes_nothing(self):
+    def test_report_of_an_earlier_start_is_ignored(self):
         async def story(scene):
             scene.engine.restart('i-1', started_at_ms=2000)
             scene.engine.models.add(fake_engine.MODEL)
@@ -583,66 +593,74 @@
 
         play(story)
 
-    def test_its_fencing_numbers_start_anew(self):
-        """An engine that restarted refuses no order of its sidecar."""
+    def test_fencing_works_after_the_restart(self):
+        """Guards against a restarted engine that refuses all orders."""
 
         async def story(scene):
-            await scene.ask('one')
+            await scene.request_turn('one')
             number = scene.engine.fence
             scene.engine.restart('i-1', started_at_ms=2000)
             scene.engine.models.add(fake_engine.MODEL)
             await asyncio.sleep(0.5)
-            assert (await scene.ask('two')).refusal is None
+            assert (await scene.request_turn('two')).refusal is None
             assert scene.engine.fence >= number
 
         play(story)
 
 
 class TestCrashes:
-    """Requests under which engines crashed."""
+    """Requests during which engines crashed."""
 
     def crash(self, scene, count):
         for number in range(count):
             scene.crashes.record_crash('f', f'i-{number}')
 
-    def test_what_crashed_three_gets_no_turn(self):
-        """Guards against an entry that has not heard of a deadly request."""
+    def test_request_with_three_crashes_is_refused(self):
+        """Guards against an entry that doesn't know of a crashing request."""
 
         async def story(scene):
             self.crash(scene, 3)
-            reply = await scene.ask('one', fingerprint='f')
+            reply = await scene.request_turn('one', fingerprint='f')
             assert reply.refusal is errors.ErrorKind.CRASHES_BACKEND_SERVERS
             assert len(reply.suspects.states) == 1
 
         play(story)
 
-    def test_an_entry_tells_what_it_knows(self):
+    def test_suspects_of_the_entry_are_applied(self):
         async def story(scene):
             state = crash_record.SuspectState(
                 'f',
                 tuple(crash_record.Crash(f'i-{n}', False) for n in range(3)),
             )
             news = suspect_exchange.SuspectNews(revision=9, states=(state,))
-            reply = await scene.ask('one', fingerprint='f', suspects=news)
+            reply = await scene.request_turn(
+                'one', fingerprint='f', suspects=news
+            )
             assert reply.refusal is errors.ErrorKind.CRASHES_BACKEND_SERVERS
 
         play(story)
 
-    def test_suspects_get_turns_one_by_one(self):
+    def test_suspect_requests_run_one_by_one(self):
         async def story(scene):
             self.crash(scene, 2)
-            first = await scene.ask('one', fingerprint='f', is_isolated=True)
+            first = await scene.request_turn(
+                'one', fingerprint='f', is_isolated=True
+            )
             assert first.refusal is None
-            second = await scene.ask('two', fingerprint='f', is_isolated=True)
+            second = await scene.request_turn(
+                'two', fingerprint='f', is_isolated=True
+            )
             assert second.refusal is errors.ErrorKind.QUEUE_FULL
-            await scene.end('one')
-            third = await scene.ask('three', fingerprint='f', is_isolated=True)
+            await scene.end_turn('one')
+            third = await scene.request_turn(
+                'three', fingerprint='f', is_isolated=True
+            )
             assert third.refusal is None
 
         play(story)
 
-    def test_says_at_once_whether_the_engine_runs(self):
-        """Guards against a crash that shows only with the next report."""
+    def test_engine_state_is_polled_on_request(self):
+        """Guards against a crash that is detected only by the next poll."""
 
         async def story(scene):
             ends = turn_messages.TurnEnds(turn_ids=(), asks_state=True)
@@ -657,7 +675,7 @@
 
         play(story)
 
-    def test_looks_at_the_engine_only_where_asked(self):
+    def test_engine_is_not_polled_without_request(self):
         async def story(scene):
             reply = await scene.controller.end_turns(
                 turn_messages.TurnEnds(turn_ids=())
--- a/tests/test_order_interleavings.py
+++ b/tests/test_order_interleavings.py
@@ -77,14 +77,16 @@
         number = len(self.tasks)
         adapter = f'a{self.source.randrange(ADAPTER_COUNT)}'
         name = f'r{number}'
-        reply = await self.scene.ask(name, adapter=adapter, wait_ms=3000)
+        reply = await self.scene.request_turn(
+            name, adapter=adapter, wait_ms=3000
+        )
         if reply.refusal is None and not reply.is_pending:
             key = f'{fake_engine.MODEL}/{adapter}'
             engine.runs.add(name)
             engine.in_use.add(key)
             await asyncio.sleep(self.source.choice((0.0, 0.1, 0.5)))
             engine.runs.discard(name)
-        await self.scene.end(name)
+        await self.scene.end_turn(name)
 
     def restart(self):
         self.starts += 1
--- a/tests/test_wait_estimator.py
+++ b/tests/test_wait_estimator.py
@@ -100,7 +100,7 @@
                 run_s, tokens = (1.7, 170) if number % 5 == 0 else (0.25, 24)
                 declared_tokens = int(tokens * source.uniform(0.5, 1.7))
                 started_s = scene.clock.monotonic_s()
-                reply = await scene.ask(
+                reply = await scene.request_turn(
                     name,
                     adapter=adapter,
                     wait_ms=3000,
@@ -111,7 +111,7 @@
                     scene.engine.runs.add(name)
                     await asyncio.sleep(run_s)
                     scene.engine.runs.discard(name)
-                    await scene.end(name)
+                    await scene.end_turn(name)
 
             await asyncio.gather(*map(one, range(self.REQUEST_COUNT)))
 
