--- a/tests/test_turn_queue.py
+++ b/tests/test_turn_queue.py
@@ -19,7 +19,7 @@
 Fault = fault_matrix.Fault
 Step = fault_matrix.Step
 ErrorKind = errors.ErrorKind
-_LONGEST_STORY_S = 200.0
+_MAX_SCENARIO_S = 200.0
 
 
 def make_queue(
@@ -41,14 +41,14 @@
     return samples.order(**({'deadline_s': 60.0} | fields))
 
 
-class Story:
-    """Requests at one queue in virtual time, and what became of them."""
+class Scenario:
+    """Requests at one queue in virtual time, and their outcomes."""
 
     def __init__(self, queue):
         self.queue = queue
         self.started = {}
         self.refused = {}
-        self.most_running = 0
+        self.max_running = 0
 
     def send(self, name, work_s=1.0, prepare_s=0.0, **fields):
         return asyncio.create_task(
@@ -57,19 +57,19 @@
 
     async def _serve(self, name, work_s, prepare_s, order):
         try:
-            async with self.queue.reserve(order) as place:
+            async with self.queue.reserve(order) as reservation:
                 if prepare_s:
                     await asyncio.sleep(prepare_s)
-                async with place.turn():
+                async with reservation.turn():
                     self.started[name] = now()
-                    self.most_running = max(
-                        self.most_running, self.queue.running
+                    self.max_running = max(
+                        self.max_running, self.queue.running
                     )
                     await asyncio.sleep(work_s)
         except errors.RefusalError as error:
             self.refused[name] = (now(), error)
 
-    def kinds(self):
+    def refusal_kinds(self):
         return {name: error.kind for name, (_, error) in self.refused.items()}
 
 
@@ -77,32 +77,32 @@
     return asyncio.get_running_loop().time()
 
 
-async def soon():
-    """Let every task that can go on do so."""
+async def run_ready_tasks():
+    """Run every task that is ready."""
     for _ in range(10):
         await asyncio.sleep(0)
 
 
-async def learn(story, work_s=1.0, **fields):
-    """Let the queue see how long a turn takes."""
-    await story.send('first', work_s, **fields)
+async def record_turn(scenario, work_s=1.0, **fields):
+    """Let the queue record the duration of a turn."""
+    await scenario.send('first', work_s, **fields)
 
 
-def play(main):
-    """Run a story in virtual time; one that hangs fails at once."""
+def run_in_virtual_time(main):
+    """Run a scenario in virtual time; one that hangs fails at once."""
 
     async def limited():
-        async with asyncio.timeout(_LONGEST_STORY_S):
+        async with asyncio.timeout(_MAX_SCENARIO_S):
             await main
 
     virtual_time.run(limited())
 
 
-def told(function):
-    """Run a story in virtual time as a plain test."""
+def in_virtual_time(function):
+    """Turn a scenario in virtual time into a plain test."""
 
     def test(self):
-        play(function(self))
+        run_in_virtual_time(function(self))
 
     test.__name__ = function.__name__
     test.__doc__ = function.__doc__
@@ -111,29 +111,29 @@
 
 
 class TestTurns:
-    @told
-    async def test_runs_no_more_than_its_turns(self):
-        story = Story(make_queue(3))
-        await asyncio.gather(*(story.send(n) for n in range(10)))
-        assert story.most_running == 3
-        assert max(story.started.values()) == pytest.approx(3.0)
-
-    @told
-    async def test_prepares_a_few_ahead_and_no_more(self):
-        story = Story(make_queue(1, lookahead_count=1))
-        tasks = [story.send(n, prepare_s=1.0) for n in range(3)]
+    @in_virtual_time
+    async def test_concurrent_turns_are_limited(self):
+        scenario = Scenario(make_queue(3))
+        await asyncio.gather(*(scenario.send(n) for n in range(10)))
+        assert scenario.max_running == 3
+        assert max(scenario.started.values()) == pytest.approx(3.0)
+
+    @in_virtual_time
+    async def test_preparing_requests_are_limited(self):
+        scenario = Scenario(make_queue(1, lookahead_count=1))
+        tasks = [scenario.send(n, prepare_s=1.0) for n in range(3)]
         await asyncio.gather(*tasks)
-        # The second prepared beside the first, the third had to wait.
-        assert list(story.started.values()) == pytest.approx([1, 2, 3])
-        assert story.most_running == 1
+        # The second prepared while the first ran; the third had to wait.
+        assert list(scenario.started.values()) == pytest.approx([1, 2, 3])
+        assert scenario.max_running == 1
 
-    @told
-    async def test_tells_its_load(self):
+    @in_virtual_time
+    async def test_reports_its_load(self):
         queue = make_queue(2)
-        story = Story(queue)
-        await learn(story)
-        tasks = [story.send(n) for n in range(6)]
-        await soon()
+        scenario = Scenario(queue)
+        await record_turn(scenario)
+        tasks = [scenario.send(n) for n in range(6)]
+        await run_ready_tasks()
         load = queue.load()
         assert (load.queued_count, load.running_count) == (4, 2)
         assert load.estimated_wait_s == pytest.approx(3.0)
@@ -142,73 +142,74 @@
 
 
 class TestCancel:
-    @told
-    async def test_one_that_waits_frees_its_place_at_once(self):
-        story = Story(make_queue(1, max_queued=1))
-        running = story.send('running')
-        waiting = story.send('waiting')
-        await soon()
+    @in_virtual_time
+    async def test_waiting_request_frees_its_place_at_once(self):
+        scenario = Scenario(make_queue(1, max_queued=1))
+        running = scenario.send('running')
+        waiting = scenario.send('waiting')
+        await run_ready_tasks()
         waiting.cancel()
-        await soon()
-        assert story.queue.queued == 0
-        last = story.send('last')
+        await run_ready_tasks()
+        assert scenario.queue.queued == 0
+        last = scenario.send('last')
         await asyncio.gather(running, last)
-        assert story.started == {'running': 0.0, 'last': 1.0}
+        assert scenario.started == {'running': 0.0, 'last': 1.0}
 
     @pytest.mark.parametrize('prepare_s', [0.0, 0.5])
-    def test_in_the_moment_of_its_turn_loses_it_for_nobody(self, prepare_s):
-        """A backend server gets slower with each caller that hangs up.
+    def test_cancel_while_the_turn_is_granted_releases_it(self, prepare_s):
+        """Guards against a turn lost with each caller that disconnects.
 
-        A turn ends and is given to the next; that one is cancelled
-        before it wakes up.  The cause would be a turn that belongs to
-        nobody who will ever give it back.
+        A turn ends and is granted to the next request, which is cancelled
+        before its task resumes, so that no task would release the turn.
         """
 
         async def main():
             queue = make_queue(1, lookahead_count=1 if prepare_s else 0)
-            story = Story(queue)
+            scenario = Scenario(queue)
             ended = asyncio.get_running_loop().create_future()
 
             async def hold():
-                async with queue.reserve(make_order()) as place:
-                    async with place.turn():
+                async with queue.reserve(make_order()) as reservation:
+                    async with reservation.turn():
                         await ended
-                unlucky.cancel()
+                disconnected.cancel()
 
             holder = asyncio.create_task(hold())
-            await soon()
-            unlucky = story.send('unlucky', prepare_s=prepare_s)
+            await run_ready_tasks()
+            disconnected = scenario.send('disconnected', prepare_s=prepare_s)
             await asyncio.sleep(1.0)
-            last = story.send('last')
-            await soon()
+            last = scenario.send('last')
+            await run_ready_tasks()
             ended.set_result(None)
             await asyncio.gather(holder, last)
-            await asyncio.gather(unlucky, return_exceptions=True)
-            assert 'unlucky' not in story.started
-            assert 'last' in story.started
+            await asyncio.gather(disconnected, return_exceptions=True)
+            assert 'disconnected' not in scenario.started
+            assert 'last' in scenario.started
             assert (queue.queued, queue.running) == (0, 0)
 
-        play(main())
+        run_in_virtual_time(main())
 
-    @told
-    async def test_one_that_is_given_a_place_after_it_hung_up(self):
-        """A whole sidecar stops serving after one caller hung up.
+    @in_virtual_time
+    async def test_reservation_granted_to_a_cancelled_request(self):
+        """Guards against a sidecar that stops after one disconnect.
 
-        A waiting request is cancelled and, before its task wakes up,
-        the turn before it ends.  The cause would be an error in giving
-        a place to it, raised in the task of the request that ended.
+        A waiting request is cancelled and, before its task resumes, the
+        previous turn ends.  Granting the reservation to the cancelled
+        request would raise in the task of the request that ended.
         """
         queue = make_queue(1)
-        story = Story(queue)
+        scenario = Scenario(queue)
         async with contextlib.AsyncExitStack() as held:
-            place = await held.enter_async_context(queue.reserve(make_order()))
-            await held.enter_async_context(place.turn())
-            gone = story.send('gone')
-            last = story.send('last')
-            await soon()
+            reservation = await held.enter_async_context(
+                queue.reserve(make_order())
+            )
+            await held.enter_async_context(reservation.turn())
+            gone = scenario.send('gone')
+            last = scenario.send('last')
+            await run_ready_tasks()
             gone.cancel()
         await asyncio.gather(last, gone, return_exceptions=True)
-        assert list(story.started) == ['last']
+        assert list(scenario.started) == ['last']
         assert (queue.queued, queue.running) == (0, 0)
 
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
@@ -224,16 +225,16 @@
         ),
         lookahead_count=strategies.integers(0, 3),
     )
-    def test_never_loses_a_turn_for_others(self, steps, lookahead_count):
+    def test_no_turn_is_ever_lost(self, steps, lookahead_count):
         async def main():
             queue = make_queue(2, lookahead_count=lookahead_count)
-            story = Story(queue)
+            scenario = Scenario(queue)
             loop = asyncio.get_running_loop()
             tasks = []
             staying = set()
             for number, step in enumerate(steps):
-                customer, work_s, prepare_s, hang_up_s = step
-                task = story.send(
+                customer, work_s, prepare_s, disconnect_s = step
+                task = scenario.send(
                     number,
                     work_s,
                     prepare_s,
@@ -241,157 +242,160 @@
                     deadline_s=1e6,
                 )
                 tasks.append(task)
-                if hang_up_s is None:
+                if disconnect_s is None:
                     staying.add(number)
                 else:
-                    loop.call_later(hang_up_s, task.cancel)
+                    loop.call_later(disconnect_s, task.cancel)
             await asyncio.gather(*tasks, return_exceptions=True)
-            assert staying <= set(story.started)
-            assert story.most_running <= 2
+            assert staying <= set(scenario.started)
+            assert scenario.max_running <= 2
             assert (queue.queued, queue.running) == (0, 0)
 
-        play(main())
+        run_in_virtual_time(main())
 
 
 class TestDeadline:
-    @told
-    async def test_tells_of_an_adapter_that_comes_too_late(self):
-        story = Story(make_queue(prepare_s={'/cold': 5.0}))
-        await learn(story)
-        tasks = [story.send('running')]
-        await soon()
-        tasks.append(story.send('late', deadline_s=4.0, path='/cold'))
-        tasks.append(story.send('warm', deadline_s=4.0, path='/warm'))
-        await soon()
-        assert list(story.refused) == ['late']
-        _, error = story.refused['late']
+    @in_virtual_time
+    async def test_adapter_that_loads_too_late_is_refused(self):
+        scenario = Scenario(make_queue(prepare_s={'/cold': 5.0}))
+        await record_turn(scenario)
+        tasks = [scenario.send('running')]
+        await run_ready_tasks()
+        tasks.append(scenario.send('late', deadline_s=4.0, path='/cold'))
+        tasks.append(scenario.send('warm', deadline_s=4.0, path='/warm'))
+        await run_ready_tasks()
+        assert list(scenario.refused) == ['late']
+        _, error = scenario.refused['late']
         assert error.retry_after_s == pytest.approx(1.0)
         await asyncio.gather(*tasks)
-        assert 'warm' in story.started
+        assert 'warm' in scenario.started
 
-    @told
-    async def test_tells_when_an_adapter_gets_too_late(self):
+    @in_virtual_time
+    async def test_adapter_that_becomes_too_late_is_refused(self):
         prepare_s = {'/cold': 1.0}
-        story = Story(make_queue(prepare_s=prepare_s))
-        await learn(story, 3.0)
-        tasks = [story.send('running', 3.0)]
-        await soon()
-        tasks.append(story.send('late', deadline_s=4.0, path='/cold'))
+        scenario = Scenario(make_queue(prepare_s=prepare_s))
+        await record_turn(scenario, 3.0)
+        tasks = [scenario.send('running', 3.0)]
+        await run_ready_tasks()
+        tasks.append(scenario.send('late', deadline_s=4.0, path='/cold'))
         await asyncio.sleep(0.5)
         prepare_s['/cold'] = 9.0
         await asyncio.gather(*tasks)
-        refused_s, error = story.refused['late']
+        refused_s, error = scenario.refused['late']
         assert error.kind is ErrorKind.DEADLINE_UNREACHABLE
         assert refused_s - 3.0 <= 0.5 + 2 * turn_queue.RECHECK_INTERVAL_S
 
-    @told
-    async def test_refuses_at_once_and_says_truly_when_to_come_back(self):
-        story = Story(make_queue(2))
-        await learn(story)
-        tasks = [story.send(n, deadline_s=10.0) for n in range(40)]
-        await soon()
-        refused_at_s, error = story.refused[39]
+    @in_virtual_time
+    async def test_refuses_at_once_with_a_correct_retry_time(self):
+        scenario = Scenario(make_queue(2))
+        await record_turn(scenario)
+        tasks = [scenario.send(n, deadline_s=10.0) for n in range(40)]
+        await run_ready_tasks()
+        refused_at_s, error = scenario.refused[39]
         assert refused_at_s == now()
         assert error.kind is ErrorKind.DEADLINE_UNREACHABLE
         assert error.outcome is errors.Outcome.NOT_RUN
         assert error.retry_after_s >= 0.0
         await asyncio.sleep(error.retry_after_s + 0.01)
-        tasks.append(story.send('again', deadline_s=10.0))
+        tasks.append(scenario.send('again', deadline_s=10.0))
         await asyncio.gather(*tasks)
-        assert 'again' in story.started
-        # All that were accepted started in time.
-        assert max(story.started.values()) <= 21.1
-        assert len(story.started) + len(story.refused) == 42
+        assert 'again' in scenario.started
+        # All accepted requests started in time.
+        assert max(scenario.started.values()) <= 21.1
+        assert len(scenario.started) + len(scenario.refused) == 42
 
-    @told
+    @in_virtual_time
     async def test_accepts_what_it_can_start_in_time(self):
-        story = Story(make_queue(2))
-        await learn(story)
-        tasks = [story.send(n, deadline_s=10.0) for n in range(20)]
+        scenario = Scenario(make_queue(2))
+        await record_turn(scenario)
+        tasks = [scenario.send(n, deadline_s=10.0) for n in range(20)]
         await asyncio.gather(*tasks)
-        assert not story.refused
-
-    @told
-    async def test_tells_of_a_long_turn_from_its_max_tokens(self):
-        story = Story(make_queue(1))
-        await learn(story, 1.0, max_tokens=100)
-        tasks = [story.send('long', 9.0, max_tokens=900)]
-        await soon()
-        tasks.append(story.send('late', deadline_s=5.0, max_tokens=100))
-        tasks.append(story.send('patient', deadline_s=12.0, max_tokens=100))
-        await soon()
-        assert list(story.refused) == ['late']
-        _, error = story.refused['late']
+        assert not scenario.refused
+
+    @in_virtual_time
+    async def test_max_tokens_predict_a_long_turn(self):
+        scenario = Scenario(make_queue(1))
+        await record_turn(scenario, 1.0, max_tokens=100)
+        tasks = [scenario.send('long', 9.0, max_tokens=900)]
+        await run_ready_tasks()
+        tasks.append(scenario.send('late', deadline_s=5.0, max_tokens=100))
+        tasks.append(scenario.send('patient', deadline_s=12.0, max_tokens=100))
+        await run_ready_tasks()
+        assert list(scenario.refused) == ['late']
+        _, error = scenario.refused['late']
         assert error.retry_after_s == pytest.approx(4.0)
         await asyncio.gather(*tasks)
-        assert 'patient' in story.started
+        assert 'patient' in scenario.started
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.ENGINE_LATE, Step.QUEUED)
-    @told
-    async def test_a_stalled_engine_holds_nobody_to_the_deadline(self):
-        """Callers wait out their whole deadline for nothing.
+    @in_virtual_time
+    async def test_stalled_engine_refuses_before_the_deadline(self):
+        """Guards against callers that wait in vain until their deadline.
 
-        A turn takes one second; then the engine stalls, with requests
-        waiting for places and for turns.  The cause would be an
-        estimate that is made on arrival alone.
+        A turn takes one second; then the engine stalls while requests wait
+        for reservations and turns.  It happens if the wait is estimated
+        only on arrival.
         """
         queue = make_queue(1, lookahead_count=1)
-        story = Story(queue)
-        await learn(story)
+        scenario = Scenario(queue)
+        await record_turn(scenario)
         begun_s = now()
-        tasks = [story.send('stalled', 100.0)]
-        await soon()
-        tasks += [story.send(n, deadline_s=40.0) for n in range(3)]
+        tasks = [scenario.send('stalled', 100.0)]
+        await run_ready_tasks()
+        tasks += [scenario.send(n, deadline_s=40.0) for n in range(3)]
         await asyncio.sleep(39.0)
-        assert story.kinds() == dict.fromkeys(
+        assert scenario.refusal_kinds() == dict.fromkeys(
             range(3), ErrorKind.DEADLINE_UNREACHABLE
         )
-        for refused_at_s, _ in story.refused.values():
+        for refused_at_s, _ in scenario.refused.values():
             assert refused_at_s - begun_s < 25.0
         await asyncio.gather(*tasks)
-        assert set(story.started) == {'first', 'stalled'}
+        assert set(scenario.started) == {'first', 'stalled'}
 
-    @told
-    async def test_refuses_when_others_go_ahead(self):
-        """A patient caller is told at its deadline what was known before.
+    @in_virtual_time
+    async def test_refuses_when_other_requests_go_ahead(self):
+        """Guards against a refusal at the deadline that was due earlier.
 
-        Its estimate is good until urgent requests of another customer
-        come in.  The cause would be an estimate made on arrival alone.
+        The estimate is correct until requests of another customer arrive
+        and go ahead.  It happens if the wait is estimated only on arrival.
         """
-        story = Story(make_queue(1))
-        await learn(story)
+        scenario = Scenario(make_queue(1))
+        await record_turn(scenario)
         begun_s = now()
-        tasks = [story.send('running', 1.0)]
+        tasks = [scenario.send('running', 1.0)]
         tasks += [
-            story.send(n, customer='batch', deadline_s=12.0) for n in range(10)
+            scenario.send(n, customer='batch', deadline_s=12.0)
+            for n in range(10)
         ]
-        await soon()
-        assert not story.refused
+        await run_ready_tasks()
+        assert not scenario.refused
         tasks += [
-            story.send(f'urgent {n}', customer='urgent', deadline_s=60.0)
+            scenario.send(f'urgent {n}', customer='urgent', deadline_s=60.0)
             for n in range(10)
         ]
         await asyncio.gather(*tasks)
-        refused_at_s = [at_s - begun_s for at_s, _ in story.refused.values()]
+        refused_at_s = [
+            at_s - begun_s for at_s, _ in scenario.refused.values()
+        ]
         assert len(refused_at_s) >= 4
         assert max(refused_at_s) < 11.0
         assert min(refused_at_s) < 1.0
 
-    @told
-    async def test_a_customer_over_its_share_is_told_soon(self):
-        """A flood is told at its deadline what was known long before.
+    @in_virtual_time
+    async def test_customer_over_its_share_is_refused_early(self):
+        """Guards against refusing a flood only at its deadlines.
 
         It sends four times its half of the turns; another customer uses
-        the other half and always goes ahead.  The cause would be an
-        estimate made from those alone who wait just now.
+        the other half and always goes ahead.  It happens if the estimate
+        considers only the requests that are queued now.
         """
-        story = Story(make_queue(1))
+        scenario = Scenario(make_queue(1))
         tasks = []
         for number in range(600):
             await asyncio.sleep(0.1)
             customer = 'flood' if number % 2 else 'other'
             tasks += [
-                story.send(
+                scenario.send(
                     (customer, number, copy),
                     0.1,
                     customer=customer,
@@ -401,78 +405,78 @@
                 for copy in range(4 if customer == 'flood' else 1)
             ]
         await asyncio.gather(*tasks)
-        assert {name[0] for name in story.refused} == {'flood'}
+        assert {name[0] for name in scenario.refused} == {'flood'}
         waited_s = [
             at_s - 0.1 * (number + 1)
-            for (_, number, _), (at_s, _) in story.refused.items()
+            for (_, number, _), (at_s, _) in scenario.refused.items()
             if number > 300
         ]
         assert len(waited_s) > 300
         assert sum(waited_s) / len(waited_s) < 1.5
 
 
-class TestBounds:
-    @told
-    async def test_one_customers_bound_leaves_the_others_alone(self):
-        story = Story(make_queue(1))
+class TestLimits:
+    @in_virtual_time
+    async def test_limit_of_one_customer_does_not_affect_others(self):
+        scenario = Scenario(make_queue(1))
         tasks = [
-            story.send(n, customer='burst', queued_requests=2)
+            scenario.send(n, customer='burst', queued_requests=2)
             for n in range(5)
         ]
-        tasks.append(story.send('other', customer='other'))
+        tasks.append(scenario.send('other', customer='other'))
         await asyncio.gather(*tasks)
-        assert story.kinds() == {
+        assert scenario.refusal_kinds() == {
             3: ErrorKind.QUEUE_FULL,
             4: ErrorKind.QUEUE_FULL,
         }
-        assert 'other' in story.started
+        assert 'other' in scenario.started
 
     @pytest.mark.proves(Promise.LIMITS, Fault.NONE, Step.QUEUED)
-    @told
-    async def test_a_full_queue_makes_room_for_the_others(self):
-        """A customer is refused since another's burst fills the queue.
+    @in_virtual_time
+    async def test_full_queue_evicts_from_the_longest(self):
+        """Guards against refusing a customer for the burst of another.
 
-        The burst stays within its own bound, but that is as large as
-        the queue.  The cause would be a total bound that refuses
-        whoever comes last.
+        The burst is within the customer's own limit, which is as large as
+        the queue.  It happens if the total limit refuses the request that
+        arrives last.
         """
-        story = Story(make_queue(1, max_queued=4))
-        tasks = [story.send(n, customer='burst') for n in range(5)]
-        await soon()
-        tasks.append(story.send('other', customer='other'))
-        await soon()
-        # The newest request of the longest queue gave way.
-        assert story.kinds() == {4: ErrorKind.QUEUE_FULL}
-        tasks.append(story.send('more', customer='burst'))
+        scenario = Scenario(make_queue(1, max_queued=4))
+        tasks = [scenario.send(n, customer='burst') for n in range(5)]
+        await run_ready_tasks()
+        tasks.append(scenario.send('other', customer='other'))
+        await run_ready_tasks()
+        # The newest request of the longest queue was evicted.
+        assert scenario.refusal_kinds() == {4: ErrorKind.QUEUE_FULL}
+        tasks.append(scenario.send('more', customer='burst'))
         await asyncio.gather(*tasks)
-        assert story.kinds() == {
+        assert scenario.refusal_kinds() == {
             4: ErrorKind.QUEUE_FULL,
             'more': ErrorKind.QUEUE_FULL,
         }
 
-    @told
-    async def test_says_when_a_place_in_the_queue_comes_free(self):
-        story = Story(make_queue(1, max_queued=1))
-        await learn(story, 4.0)
-        tasks = [story.send(n, 4.0) for n in range(3)]
-        await soon()
-        _, error = story.refused[2]
+    @in_virtual_time
+    async def test_retry_time_is_when_the_queue_has_room(self):
+        scenario = Scenario(make_queue(1, max_queued=1))
+        await record_turn(scenario, 4.0)
+        tasks = [scenario.send(n, 4.0) for n in range(3)]
+        await run_ready_tasks()
+        _, error = scenario.refused[2]
         assert error.retry_after_s == pytest.approx(4.0)
         await asyncio.sleep(error.retry_after_s + 0.01)
-        tasks.append(story.send('again', 4.0))
+        tasks.append(scenario.send('again', 4.0))
         await asyncio.gather(*tasks)
-        assert 'again' in story.started
+        assert 'again' in scenario.started
 
 
 class TestBurst:
     @pytest.mark.proves(Promise.LIMITS, Fault.NONE, Step.QUEUED)
-    async def test_leaves_the_others_within_their_deadline(self, tmp_path):
-        """One customer's burst makes the others' requests late.
+    async def test_other_customers_meet_their_deadline(self, tmp_path):
+        """Guards against one customer's burst that makes others late.
 
-        A hundred requests of one customer, half a second each, meet a
-        backend server with two turns; then another customer calls, with
-        a deadline of four seconds.  The cause would be turns that are
-        given first come, first served.
+        A hundred requests of one customer, half a second each, arrive at a
+        backend server with two turns; then another customer calls with a
+        deadline of four seconds.  It happens if turns are granted in order
+        of arrival.
         """
         limits = contract.Limits(
             requests_per_s=1000.0,
