--- a/tests/test_turn_client.py
+++ b/tests/test_turn_client.py
@@ -1,4 +1,4 @@
-"""Where an entry gets turns from while sidecars come and go."""
+"""Acquiring turns while sidecars restart, refuse or don't respond."""
 
 import asyncio
 import dataclasses
@@ -24,18 +24,18 @@
 
 
 class FakeSidecars:
-    """Sidecars by IP, each with a reply, an error, or silence."""
+    """Sidecars by IP, each with a reply, an error, or no response."""
 
     def __init__(self):
         self.replies = {}
-        self.asked = []
-        self.ended = []
-        self.ends = []
+        self.requests = []
+        self.ended_turns = []
+        self.end_messages = []
         self.state = turn_messages.TurnEndsReply()
         self.delay_s = 0.0
 
     async def request_turn(self, ip, request, timeout_s):
-        self.asked.append((ip, request))
+        self.requests.append((ip, request))
         reply = self.replies.get(ip, turn_messages.TurnReply())
         await asyncio.sleep(self.delay_s)
         if isinstance(reply, list):
@@ -46,13 +46,13 @@
         return reply
 
     async def end_turns(self, ip, message, timeout_s):
-        self.ended += [(ip, turn_id) for turn_id in message.turn_ids]
-        self.ends.append(message)
+        self.ended_turns += [(ip, turn_id) for turn_id in message.turn_ids]
+        self.end_messages.append(message)
         return self.state
 
 
 class Scene:
-    """A source before three engines."""
+    """A turn client with three engines."""
 
     def __init__(self, **adapters):
         self.clock = virtual_time.LoopClock()
@@ -75,7 +75,7 @@
         self.placement = placement.Placement(
             self.clock, settings.ObjectiveSettings(stall_weight=1)
         )
-        self.source = turn_client.TurnClient(
+        self.client = turn_client.TurnClient(
             'edge-1',
             self.sidecars,
             self.servers,
@@ -87,7 +87,7 @@
             self.suspects,
         )
 
-    def wanted(self, name='one', **fields):
+    def spec(self, name='one', **fields):
         now_s = self.clock.monotonic_s()
         values = {
             'run_id': name,
@@ -107,16 +107,16 @@
         }
         return turn_spec.TurnSpec(**{**values, **fields})
 
-    async def take(self, name='one', excluded=(), **fields):
-        wanted = self.wanted(name, **fields)
-        async with self.source.acquire(wanted, excluded) as turn:
+    async def acquire(self, name='one', excluded=(), **fields):
+        spec = self.spec(name, **fields)
+        async with self.client.acquire(spec, excluded) as turn:
             return turn
 
 
 def play(story, **adapters):
     async def main():
         scene = Scene(**adapters)
-        sending = asyncio.create_task(scene.source.run())
+        sending = asyncio.create_task(scene.client.run())
         await story(scene)
         await asyncio.sleep(0.1)
         sending.cancel()
@@ -126,38 +126,38 @@
 
 
 class TestTurn:
-    def test_is_ended_at_the_sidecar(self):
+    def test_turn_is_ended_at_the_sidecar(self):
         async def story(scene):
-            await scene.take()
+            await scene.acquire()
 
         scene = play(story)
-        ip = scene.sidecars.asked[0][0]
-        assert scene.sidecars.ended == [(ip, 'one.1')]
+        ip = scene.sidecars.requests[0][0]
+        assert scene.sidecars.ended_turns == [(ip, 'one.1')]
 
     def test_requests_for_one_adapter_go_to_one_engine(self):
         async def story(scene):
             for number in range(10):
-                await scene.take(f'r{number}')
+                await scene.acquire(f'r{number}')
 
         scene = play(story)
-        assert len({ip for ip, _ in scene.sidecars.asked}) == 1
+        assert len({ip for ip, _ in scene.sidecars.requests}) == 1
 
-    def test_pending_is_asked_again(self):
+    def test_pending_turn_is_requested_again(self):
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = [
                     turn_messages.TurnReply(is_pending=True),
                     turn_messages.TurnReply(version=2),
                 ]
-            assert (await scene.take()).version == 2
+            assert (await scene.acquire()).version == 2
 
         scene = play(story)
-        first, second = scene.sidecars.asked
+        first, second = scene.sidecars.requests
         assert first[0] == second[0]
         assert first[1].turn_id == second[1].turn_id
 
-    def test_names_the_incarnation_that_the_sidecar_sees(self):
-        """A request goes to an engine that was replaced, and is refused.
+    def test_turn_has_the_incarnation_known_to_the_sidecar(self):
+        """Guards against a request sent to a replaced engine.
 
         The engine restarts; its sidecar knows at once, the list later.
         """
@@ -167,24 +167,24 @@
                 scene.sidecars.replies[f'10.0.0.{number}'] = (
                     turn_messages.TurnReply(backend_server='new')
                 )
-            assert (await scene.take()).server.name == 'new'
+            assert (await scene.acquire()).server.name == 'new'
 
         play(story)
 
 
 class TestRefusals:
-    def test_another_engine_is_asked(self):
+    def test_another_engine_is_tried(self):
         async def story(scene):
             for number in (1, 2):
                 scene.sidecars.replies[f'10.0.0.{number}'] = (
                     turn_messages.TurnReply(refusal=DRAINING)
                 )
-            turn = await scene.take()
+            turn = await scene.acquire()
             assert turn.server.name == 'c'
 
         play(story)
 
-    def test_of_all_is_the_soonest(self):
+    def test_earliest_retry_time_is_returned(self):
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = (
@@ -193,25 +193,25 @@
                     )
                 )
             with pytest.raises(errors.RefusalError) as found:
-                await scene.take()
+                await scene.acquire()
             assert found.value.retry_after_s == pytest.approx(0.1)
             assert found.value.outcome is errors.Outcome.NOT_RUN
 
         play(story)
 
-    def test_excluded_engines_are_not_asked(self):
+    def test_excluded_engines_are_not_tried(self):
         async def story(scene):
-            turn = await scene.take(excluded=['a', 'b'])
+            turn = await scene.acquire(excluded=['a', 'b'])
             assert turn.server.name == 'c'
 
         play(story)
 
 
 class TestStarting:
-    """All engines restart together, and load their model."""
+    """All engines restart together and load their model."""
 
-    def test_is_waited_for_where_no_engine_serves(self):
-        """Callers are refused although an engine serves a second later."""
+    def test_waits_for_a_start_if_no_engine_serves(self):
+        """Guards against refusals although an engine serves a second later."""
 
         async def story(scene):
             starting = turn_messages.TurnReply(
@@ -223,15 +223,17 @@
                     turn_messages.TurnReply(is_pending=True),
                     turn_messages.TurnReply(version=2),
                 ]
-            assert (await scene.take()).version == 2
+            assert (await scene.acquire()).version == 2
 
         scene = play(story)
-        ips = [ip for ip, _ in scene.sidecars.asked]
-        waits = [asked.waits_for_engine for _, asked in scene.sidecars.asked]
+        ips = [ip for ip, _ in scene.sidecars.requests]
+        waits = [
+            request.waits_for_engine for _, request in scene.sidecars.requests
+        ]
         assert waits == [False, False, False, True, True]
         assert ips[0] == ips[3] == ips[4]
 
-    def test_is_not_waited_for_where_another_only_is_busy(self):
+    def test_no_wait_for_a_start_if_another_engine_is_busy(self):
         async def story(scene):
             for number in (1, 2, 3):
                 refusal = STARTING if number < 3 else DRAINING
@@ -241,12 +243,12 @@
                     )
                 )
             with pytest.raises(errors.RefusalError):
-                await scene.take()
+                await scene.acquire()
 
-        assert len(play(story).sidecars.asked) == 3
+        assert len(play(story).sidecars.requests) == 3
 
-    def test_what_is_refused_then_says_why(self):
-        """A caller comes back too soon, by what was known before."""
+    def test_refusal_after_the_wait_is_returned(self):
+        """Guards against a retry time that is outdated, and too early."""
 
         async def story(scene):
             for number in (1, 2, 3):
@@ -259,13 +261,13 @@
                     ),
                 ]
             with pytest.raises(errors.RefusalError) as found:
-                await scene.take()
+                await scene.acquire()
             assert found.value.kind is DRAINING
             assert found.value.retry_after_s == pytest.approx(0.9)
 
         play(story)
 
-    def test_a_sidecar_that_is_lost_meanwhile(self):
+    def test_sidecar_lost_during_the_wait(self):
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = [
@@ -275,74 +277,74 @@
                     None,
                 ]
             with pytest.raises(errors.RefusalError) as found:
-                await scene.take()
+                await scene.acquire()
             assert found.value.outcome is errors.Outcome.NOT_RUN
 
         play(story)
 
 
-class TestSilence:
-    def test_a_silent_sidecar_does_not_stop_its_engine(self):
-        """Answers stop although every engine works.
+class TestUnresponsiveSidecar:
+    def test_engine_serves_without_its_sidecar(self):
+        """Guards against an outage although every engine serves.
 
-        All sidecars are frozen or restart; engines hold adapters as the
-        list says.
+        All sidecars are frozen or restart; the engines hold the adapters
+        that the list shows.
         """
 
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = None
-            turn = await scene.take()
+            turn = await scene.acquire()
             assert (turn.server.name, turn.version) == ('b', 4)
 
         play(story, b={'m/x': 4})
 
-    def test_an_older_version_is_no_substitute(self):
+    def test_older_version_is_no_substitute(self):
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = None
             with pytest.raises(errors.RefusalError):
-                await scene.take(version=5)
+                await scene.acquire(version=5)
 
         play(story, b={'m/x': 4})
 
-    def test_it_is_asked_no_more_for_a_while(self):
+    def test_unresponsive_sidecar_is_not_tried_again_soon(self):
         async def story(scene):
-            await scene.take('first')
-            ip = scene.sidecars.asked[0][0]
+            await scene.acquire('first')
+            ip = scene.sidecars.requests[0][0]
             scene.sidecars.replies[ip] = None
-            await scene.take('second')
-            scene.sidecars.asked.clear()
+            await scene.acquire('second')
+            scene.sidecars.requests.clear()
             started_s = scene.clock.monotonic_s()
-            await scene.take('third')
+            await scene.acquire('third')
             assert scene.clock.monotonic_s() - started_s < 0.1
-            assert ip not in {asked for asked, _ in scene.sidecars.asked}
+            assert ip not in {tried for tried, _ in scene.sidecars.requests}
 
         play(story)
 
-    def test_a_turn_that_may_be_granted_is_given_back(self):
+    def test_turn_that_may_be_granted_is_ended(self):
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = None
-            task = asyncio.create_task(scene.take())
+            task = asyncio.create_task(scene.acquire())
             await asyncio.sleep(0.1)
             task.cancel()
             await asyncio.wait([task])
 
         scene = play(story)
-        assert scene.sidecars.ended
+        assert scene.sidecars.ended_turns
 
 
-class TestSoonest:
-    """Engines that say what a request would wait there."""
+class TestShortestWait:
+    """Engines that report the expected wait of a request."""
 
     def play(self, *waits_ms):
-        """Return where the turn was, and the limits that were asked with."""
+        """Return the engine of the turn, and the limits of the requests."""
         found = []
 
         class Sidecars(FakeSidecars):
             async def request_turn(self, ip, request, timeout_s):
-                self.asked.append((ip, request.accept_within_ms))
+                self.requests.append((ip, request.accept_within_ms))
                 wait_ms = waits_ms[int(ip.rpartition('.')[2]) - 1]
                 limit_ms = request.accept_within_ms or 600
                 if wait_ms <= limit_ms:
@@ -354,48 +356,48 @@
                 )
 
         async def story(scene):
-            turn = await scene.take()
+            turn = await scene.acquire()
             found.append(int(turn.server.ip.rpartition('.')[2]) - 1)
 
         async def main():
             scene = Scene()
             scene.sidecars.__class__ = Sidecars
             await story(scene)
-            return scene.sidecars.asked
+            return scene.sidecars.requests
 
-        asked = virtual_time.run(main())
-        return found[0], [limit_ms for _, limit_ms in asked]
+        requests = virtual_time.run(main())
+        return found[0], [limit_ms for _, limit_ms in requests]
 
-    def test_the_first_that_is_soon_is_taken(self):
+    def test_first_engine_with_a_short_wait_is_used(self):
         _, limits_ms = self.play(100, 100, 100)
         assert limits_ms == [400]
 
-    def test_where_none_is_soon_the_least_wait_is_taken(self):
-        """A request waits at an engine while another is sooner.
+    def test_shortest_of_long_waits_is_used(self):
+        """Guards against waiting at an engine while another is faster.
 
-        The first that is asked would let it in just in time.
+        The first engine in order would admit the request just in time.
         """
         chosen, limits_ms = self.play(590, 450, 560)
         assert chosen == 1
         assert limits_ms == [400, 400, 400, 0]
 
-    def test_where_all_are_late_the_caller_hears_when_to_come_back(self):
+    def test_earliest_retry_time_if_all_waits_are_too_long(self):
         with pytest.raises(errors.RefusalError) as caught:
             self.play(900, 700, 800)
         assert caught.value.retry_after_s == 0.7
 
 
 class TestLeaving:
-    def test_a_turn_at_an_engine_that_left_meanwhile_is_not_used(self):
-        """A request reaches an engine seconds after it began to leave.
+    def test_turn_at_an_engine_that_left_is_not_used(self):
+        """Guards against a request sent to an engine that is leaving.
 
-        The list told of it while the request waited for its turn there.
+        The list shows it while the request waits for its turn there.
         """
 
         async def story(scene):
-            taking = asyncio.create_task(scene.take())
+            taking = asyncio.create_task(scene.acquire())
             await asyncio.sleep(0.05)
-            first_ip = scene.sidecars.asked[0][0]
+            first_ip = scene.sidecars.requests[0][0]
             for server in scene.servers.all():
                 if server.ip == first_ip:
                     scene.servers.put(
@@ -404,11 +406,11 @@
             turn = await taking
             assert turn.server.ip != first_ip
             await asyncio.sleep(0.1)
-            assert (first_ip, 'one.1') in scene.sidecars.ended
+            assert (first_ip, 'one.1') in scene.sidecars.ended_turns
 
         async def main():
             scene = Scene()
-            sending = asyncio.create_task(scene.source.run())
+            sending = asyncio.create_task(scene.client.run())
             scene.sidecars.delay_s = 0.2
             await story(scene)
             sending.cancel()
@@ -417,13 +419,13 @@
 
 
 class TestRestart:
-    def test_a_hint_of_before_is_not_believed(self):
-        """A request goes where its adapter was before a restart.
+    def test_hint_from_before_a_restart_is_ignored(self):
+        """Guards against sending requests where the adapter was before.
 
-        A reply that a sidecar sent before its engine restarted comes after
-        the list has told of the new start.
+        A reply that a sidecar sent before its engine restarted arrives
+        after the list has shown the new start.
         """
-        told = hint.Hint(
+        stale_hint = hint.Hint(
             running=0,
             queued=0,
             max_running=16,
@@ -435,18 +437,20 @@
         async def story(scene):
             for number in (1, 2, 3):
                 scene.sidecars.replies[f'10.0.0.{number}'] = (
-                    turn_messages.TurnReply(hint=told, started_at_ms=1000)
+                    turn_messages.TurnReply(
+                        hint=stale_hint, started_at_ms=1000
+                    )
                 )
             for server in scene.servers.all():
                 scene.servers.put(
                     dataclasses.replace(server, started_at_ms=2000)
                 )
-            await scene.take()
+            await scene.acquire()
             assert not scene.placement._holders
 
         play(story)
 
-    def test_a_reply_tells_of_a_restart(self):
+    def test_reply_announces_a_restart(self):
         async def story(scene):
             restarted = []
             scene.servers.restarts.subscribe(restarted.append)
@@ -454,35 +458,37 @@
                 scene.sidecars.replies[f'10.0.0.{number}'] = (
                     turn_messages.TurnReply(started_at_ms=1000)
                 )
-            await scene.take()
+            await scene.acquire()
             assert len(restarted) == 1
 
         play(story)
 
 
 class TestSuspects:
-    """Requests under which engines crashed."""
+    """Requests during which engines crashed."""
 
     def crash(self, scene, count, fingerprint='f'):
         for number in range(count):
             scene.suspects.record.record_crash(fingerprint, f'x-{number}')
 
-    def test_all_go_to_one_engine_and_no_other(self):
-        """Guards against suspects that end engine after engine."""
+    def test_all_suspects_go_to_one_engine(self):
+        """Guards against suspect requests that crash several engines."""
 
         async def story(scene):
             for number in range(8):
                 fingerprint = f'f-{number}'
                 self.crash(scene, 2, fingerprint)
-                await scene.take(
+                await scene.acquire(
                     f'r{number}', adapter=f'a{number}', fingerprint=fingerprint
                 )
 
         scene = play(story)
-        assert len({ip for ip, _ in scene.sidecars.asked}) == 1
-        assert all(request.is_isolated for _, request in scene.sidecars.asked)
+        assert len({ip for ip, _ in scene.sidecars.requests}) == 1
+        assert all(
+            request.is_isolated for _, request in scene.sidecars.requests
+        )
 
-    def test_a_refusal_there_sends_it_nowhere_else(self):
+    def test_suspect_refused_there_is_not_sent_elsewhere(self):
         async def story(scene):
             self.crash(scene, 2)
             for number in (1, 2, 3):
@@ -492,24 +498,24 @@
                     )
                 )
             with pytest.raises(errors.RefusalError) as raised:
-                await scene.take(fingerprint='f')
+                await scene.acquire(fingerprint='f')
             assert raised.value.retry_after_s == 0.9
 
-        assert len(play(story).sidecars.asked) == 1
+        assert len(play(story).sidecars.requests) == 1
 
-    def test_what_crashed_three_asks_no_engine(self):
-        """Guards against a request that ends engine after engine."""
+    def test_request_with_three_crashes_is_not_sent(self):
+        """Guards against a request that crashes one engine after another."""
 
         async def story(scene):
             self.crash(scene, 3)
             with pytest.raises(errors.RefusalError) as raised:
-                await scene.take(fingerprint='f')
+                await scene.acquire(fingerprint='f')
             assert raised.value.kind is CRASHES
 
-        assert play(story).sidecars.asked == []
+        assert play(story).sidecars.requests == []
 
-    def test_a_sidecar_that_knows_more_ends_the_asking(self):
-        """Guards against an entry that asks one engine after the other."""
+    def test_refusal_for_crashes_is_final(self):
+        """Guards against an entry that tries one engine after another."""
 
         async def story(scene):
             for number in (1, 2, 3):
@@ -517,22 +523,20 @@
                     turn_messages.TurnReply(refusal=CRASHES)
                 )
             with pytest.raises(errors.RefusalError) as raised:
-                await scene.take(fingerprint='f')
+                await scene.acquire(fingerprint='f')
             assert raised.value.kind is CRASHES
 
-        assert len(play(story).sidecars.asked) == 1
+        assert len(play(story).sidecars.requests) == 1
 
     @pytest.mark.parametrize(
         ('count', 'kind'), [(2, errors.ErrorKind.QUEUE_FULL), (3, CRASHES)]
     )
-    def test_a_turn_is_given_back_by_what_became_one_meanwhile(
-        self, count, kind
-    ):
-        """Guards against a deadly request that waited for its turn."""
+    def test_turn_of_a_new_suspect_is_ended(self, count, kind):
+        """Guards against a crashing request that was waiting for its turn."""
 
         async def story(scene):
             scene.sidecars.delay_s = 0.2
-            taking = asyncio.create_task(scene.take(fingerprint='f'))
+            taking = asyncio.create_task(scene.acquire(fingerprint='f'))
             await asyncio.sleep(0.1)
             self.crash(scene, count)
             with pytest.raises(errors.RefusalError) as raised:
@@ -540,8 +544,8 @@
             assert raised.value.kind is kind
 
         scene = play(story)
-        assert len(scene.sidecars.asked) == 1
-        assert len(scene.sidecars.ended) == 1
+        assert len(scene.sidecars.requests) == 1
+        assert len(scene.sidecars.ended_turns) == 1
 
     @pytest.mark.parametrize(
         ('state', 'crash_count'),
@@ -563,15 +567,17 @@
         ],
         ids=['unknown', 'down', 'same', 'another'],
     )
-    def test_a_cut_is_a_crash_if_its_sidecar_says_so(self, state, crash_count):
+    def test_disconnect_is_a_crash_if_the_sidecar_confirms(
+        self, state, crash_count
+    ):
         async def story(scene):
             scene.sidecars.state = state
             server = scene.servers.get('a')
-            wanted = scene.wanted(fingerprint='f', adapter='')
+            spec = scene.spec(fingerprint='f', adapter='')
             excluded = ('b', 'c')
-            async with scene.source.acquire(wanted, excluded):
+            async with scene.client.acquire(spec, excluded):
                 scene.suspects.detector.record_disconnect('f', server)
 
         scene = play(story)
         assert len(scene.suspects.record.crashed_servers('f')) == crash_count
-        assert scene.sidecars.ends[-1].asks_state
+        assert scene.sidecars.end_messages[-1].asks_state
