--- a/lacewingpitch/control_client.py
+++ b/lacewingpitch/control_client.py
@@ -1,4 +1,4 @@
-"""Control messages of an entry to sidecars and to other entries."""
+"""Client of the control messages from an entry to its peers."""
 
 from lacewingpitch import errors
 from lacewingpitch import link
@@ -9,12 +9,15 @@
 
 
 class ControlClient:
-    """The control links of an entry, one to each process it asks.
+    """Sends control messages to sidecars and to other entries.
+
+    All methods wait up to `timeout_s` for the reply, and raise
+    `errors.LinkError` if there is none that is usable.
 
     Parameters
     ----------
     sidecar_port
-        Control port, the same at every sidecar.
+        Control port; every sidecar uses the same.
     """
 
     def __init__(self, pool: link.PeerPool, sidecar_port: int) -> None:
@@ -24,7 +27,7 @@
     async def request_turn(
         self, ip: str, request: turn_messages.TurnRequest, timeout_s: float
     ) -> turn_messages.TurnReply:
-        """Ask for a turn."""
+        """Request a turn from a sidecar."""
         return await self._sidecar(ip).ask(
             request, turn_messages.TurnReply, timeout_s
         )
@@ -32,18 +35,18 @@
     async def end_turns(
         self, ip: str, message: turn_messages.TurnEnds, timeout_s: float
     ) -> turn_messages.TurnEndsReply:
-        """Say that turns have ended."""
+        """Report to a sidecar that turns have ended."""
         return await self._sidecar(ip).ask(
             message, turn_messages.TurnEndsReply, timeout_s
         )
 
-    async def ask_configuration(
+    async def request_configuration(
         self,
         ip: str,
         message: turn_messages.ConfigurationRequest,
         timeout_s: float,
     ) -> turn_messages.ConfigurationReply:
-        """Ask for a newer configuration."""
+        """Request a configuration newer than a version from a sidecar."""
         return await self._sidecar(ip).ask(
             message, turn_messages.ConfigurationReply, timeout_s
         )
@@ -54,7 +57,7 @@
         message: turn_messages.ConfigurationOffer,
         timeout_s: float,
     ) -> None:
-        """Bring a newer configuration."""
+        """Send a newer configuration to a sidecar."""
         await self._sidecar(ip).ask(
             message, turn_messages.ConfigurationTaken, timeout_s
         )
@@ -62,18 +65,18 @@
     async def ask_usage(
         self, ip: str, message: usage_lease.UsageAsk, timeout_s: float
     ) -> usage_lease.UsageReply:
-        """Ask for parts of limits."""
+        """Request leases on parts of usage limits from their owner."""
         return await self._sidecar(ip).ask(
             message, usage_lease.UsageReply, timeout_s
         )
 
-    async def ask_state(
+    async def request_state(
         self,
         entry: settings.Address,
         message: peer_bootstrap.StateRequest,
         timeout_s: float,
     ) -> peer_bootstrap.StateReply:
-        """Ask another entry what is published."""
+        """Request the published state from another entry."""
         return await self._peer(entry.ip, entry.port).ask(
             message, peer_bootstrap.StateReply, timeout_s
         )
--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -32,7 +32,7 @@
         self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
         """Return the engines to try, in order of preference."""
-        instances = self._instances.of(spec.service)
+        instances = self._instances.serving(spec.service)
         ranked = self._placement.ranked_instances(
             spec.key or spec.run_id, instances
         )
--- a/lacewingpitch/turn_client.py
+++ b/lacewingpitch/turn_client.py
@@ -345,7 +345,9 @@
                 wait_ms=int(wait_s * _MS_PER_S),
                 start_within_ms=max(0, int(remaining_s * _MS_PER_S)),
                 target_ms=int((spec.target_at_s - now_s) * _MS_PER_S),
-                deadline_ms=max(0, int((spec.until_s - now_s) * _MS_PER_S)),
+                deadline_ms=max(
+                    0, int((spec.deadline_at_s - now_s) * _MS_PER_S)
+                ),
                 waits_for_engine=waits_for_engine,
                 accept_within_ms=int(accept_within_s * _MS_PER_S),
                 organisation=spec.organisation,
--- a/lacewingpitch/turn_spec.py
+++ b/lacewingpitch/turn_spec.py
@@ -20,7 +20,7 @@
         beginning of an answer.
     target_at_s
         Monotonic time after which the first event is late.
-    until_s
+    deadline_at_s
         Monotonic time at which the final answer is due.
     organisation
         Organisation that sends the request; empty if none.
@@ -43,7 +43,7 @@
     expected_tokens: int
     start_by_s: float
     target_at_s: float
-    until_s: float
+    deadline_at_s: float
     organisation: str = ''
     weight: float = 1.0
     fingerprint: str = ''
--- a/tests/test_turn_client.py
+++ b/tests/test_turn_client.py
@@ -103,7 +103,7 @@
             'expected_tokens': 10,
             'start_by_s': now_s + 3.0,
             'target_at_s': now_s + 0.8,
-            'until_s': now_s + 12.0,
+            'deadline_at_s': now_s + 12.0,
         }
         return turn_spec.TurnSpec(**{**values, **fields})
 
