--- a/lacewingpitch/request_forwarder.py
+++ b/lacewingpitch/request_forwarder.py
@@ -199,7 +199,7 @@
             expected_tokens=request.expected_tokens,
             start_by_s=history.start_by_s(request),
             target_at_s=history.target_at_s(request),
-            until_s=request.deadline_at_s,
+            deadline_at_s=request.deadline_at_s,
             organisation=caller.name if caller else '',
             weight=caller.weight if caller else 1.0,
             fingerprint=request.fingerprint,
--- a/lacewingpitch/turn_lease.py
+++ b/lacewingpitch/turn_lease.py
@@ -29,15 +29,15 @@
 
     Parameters
     ----------
-    until_s
+    deadline_at_s
         Deadline of the request.
-    expected_wait
-        Estimated wait when the request was admitted.
+    wait_estimate
+        Estimate made when the request was admitted.
     run_s
         Expected duration of the run.
     last_reported_s
         When a report that showed the run was requested; None before.
-    expected
+    expected_prompt
         Closed once the prompt no longer counts as expected by the pacer.
     resources
         Queue reservation, adapter and turn, released together.
@@ -45,14 +45,14 @@
 
     request: turn_messages.TurnRequest
     requested_at_s: float
-    until_s: float
-    expected_wait: wait_estimator.WaitEstimate
+    deadline_at_s: float
+    wait_estimate: wait_estimator.WaitEstimate
     run_s: float = 0.0
     task: asyncio.Task[turn_messages.TurnReply] | None = None
     refusal: errors.RefusalError | None = None
     granted_at_s: float | None = None
     last_reported_s: float | None = None
-    expected: contextlib.ExitStack = dataclasses.field(
+    expected_prompt: contextlib.ExitStack = dataclasses.field(
         default_factory=contextlib.ExitStack
     )
     resources: contextlib.AsyncExitStack = dataclasses.field(
@@ -87,8 +87,8 @@
         # so that a stalled engine worsens every estimate.
         return abs(self.granted_at_s + self.run_s - now_s)
 
-    def is_missing(self, reported_at_s: float) -> bool:
-        """Whether a report as of `reported_at_s` should show the run.
+    def is_missing(self, polled_at_s: float) -> bool:
+        """Whether a report as of `polled_at_s` should show the run.
 
         To be called for a report that doesn't show it.
         """
@@ -97,7 +97,7 @@
         since_s = self.granted_at_s
         if self.last_reported_s is not None:
             since_s = max(since_s, self.last_reported_s)
-        return reported_at_s - since_s >= _MISSING_AFTER_S
+        return polled_at_s - since_s >= _MISSING_AFTER_S
 
     def waits_ms(self, granted_at_s: float) -> dict[str, int]:
         """Return the wait of a granted turn for each of its steps."""
