--- a/lacewingpitch/turn_granter.py
+++ b/lacewingpitch/turn_granter.py
@@ -38,7 +38,7 @@
 log = structlog.get_logger(__name__)
 
 
-class EngineState(admission_module.EngineStage, Protocol):
+class EngineState(admission_module.EngineStatus, Protocol):
     """Engine state that granting turns depends on."""
 
     @property
@@ -74,7 +74,7 @@
     ----------
     configuration_version
         Returns the configuration version in force in this process.
-    record
+    outcomes
         Logs and counts the outcomes of turns.
     """
 
@@ -87,10 +87,10 @@
         clock: clock_module.Clock,
         configuration_version: Callable[[], int],
         source: random.Random,
-        record: turn_metrics.TurnMetrics,
+        outcomes: turn_metrics.TurnMetrics,
         crashes: crash_record.CrashRecord,
     ) -> None:
-        self._record = record
+        self._outcomes = outcomes
         self._isolation = isolation.Isolation(crashes)
         self._queue = queue
         self._adapters = adapters
@@ -100,14 +100,14 @@
         self._configuration_version = configuration_version
         self._turns: dict[str, turn_lease.TurnLease] = {}
         self._entries = active_entries.ActiveEntries(clock)
-        self._expected_wait = wait_estimator.WaitEstimator(
+        self._wait_estimator = wait_estimator.WaitEstimator(
             adapters,
             batch_forecast.BatchForecast(self._turns, queue.turn_count, clock),
             pacer,
         )
-        self._hint = hint_builder.HintBuilder(queue, adapters, pacer)
+        self._hint_builder = hint_builder.HintBuilder(queue, adapters, pacer)
         self._admission = admission_module.Admission(engine, source)
-        self._run_times = run_duration.RunDurationEstimator()
+        self._run_durations = run_duration.RunDurationEstimator()
         self._awaiting_start_count = 0
 
     def __len__(self) -> int:
@@ -118,7 +118,7 @@
         self, request: turn_messages.TurnRequest
     ) -> turn_messages.TurnReply:
         """Grant or refuse a turn, or reply that it is still pending."""
-        self._entries.note(request.entry)
+        self._entries.record(request.entry)
         if self._must_await_start(request):
             await self._await_start(request.wait_ms / _MS_PER_S)
             if self._must_await_start(request):
@@ -131,7 +131,7 @@
             if refusal is not None:
                 return self._refused(request, refusal)
             name = self._slot_name(request)
-            wait = self._expected_wait.of(request, name)
+            wait = self._wait_estimator.estimate(request, name)
             is_above_share = self._exceeds_fair_share(request, wait)
             refusal = self._admission.refusal(
                 request, wait.total_s, is_above_share
@@ -156,7 +156,7 @@
         return turn.task.result()
 
     async def end_turns(self, turn_ids: Iterable[str]) -> None:
-        """End turns."""
+        """End turns that are finished or no longer needed."""
         for turn_id in turn_ids:
             turn = self._turns.get(turn_id)
             if turn is not None:
@@ -164,14 +164,14 @@
             await self._end(turn_id)
 
     async def end_stale(
-        self, run_ids: Collection[str], reported_at_s: float, is_queueing: bool
+        self, run_ids: Collection[str], polled_at_s: float, is_queueing: bool
     ) -> None:
         """End expired turns and those whose runs the engine doesn't report.
 
         Parameters
         ----------
         run_ids
-            Runs in progress at the engine, as of `reported_at_s`.
+            Runs in progress at the engine, as of `polled_at_s`.
         is_queueing
             Whether the engine has accepted requests that it has not
             started, and whose runs it does not report.
@@ -179,11 +179,11 @@
         now_s = self._clock.monotonic_s()
         for turn_id, turn in list(self._turns.items()):
             if turn.request.run_id in run_ids:
-                turn.last_reported_s = reported_at_s
-            if now_s >= turn.until_s or (
-                not is_queueing and turn.is_missing(reported_at_s)
+                turn.last_reported_s = polled_at_s
+            if now_s >= turn.deadline_at_s or (
+                not is_queueing and turn.is_missing(polled_at_s)
             ):
-                self._record.lapsed(turn, now_s)
+                self._outcomes.record_lapsed(turn, now_s)
                 await self._end(turn_id)
 
     async def end_all(self) -> None:
@@ -201,7 +201,7 @@
         """
         for turn_id, turn in list(self._turns.items()):
             if turn.granted_at_s is None:
-                turn.refusal = self._admission.not_serving()
+                turn.refusal = self._admission.not_serving_refusal()
                 await self._end(turn_id)
 
     def _exceeds_fair_share(
@@ -212,12 +212,12 @@
         # While turns are free, a further one delays no other organisation.
         if not wait.turn_s:
             return False
-        return fair_share.is_above(
+        return fair_share.is_exceeded(
             request, (turn.request for turn in self._turns.values())
         )
 
     def _must_await_start(self, request: turn_messages.TurnRequest) -> bool:
-        return self._admission.awaits_start(
+        return self._admission.must_await_start(
             request, self._awaiting_start_count
         )
 
@@ -237,12 +237,12 @@
         wait: wait_estimator.WaitEstimate,
     ) -> turn_lease.TurnLease:
         now_s = self._clock.monotonic_s()
-        until_s = now_s + request.deadline_ms / _MS_PER_S
+        deadline_at_s = now_s + request.deadline_ms / _MS_PER_S
         turn = turn_lease.TurnLease(
-            request, now_s, until_s, wait, self._expected_run_s(request)
+            request, now_s, deadline_at_s, wait, self._expected_run_s(request)
         )
         self._turns[request.turn_id] = turn
-        turn.expected.enter_context(
+        turn.expected_prompt.enter_context(
             self._pacer.expecting(request.prompt_tokens)
         )
         turn.task = asyncio.create_task(self._acquire(turn))
@@ -263,7 +263,7 @@
         turn.granted_at_s = self._clock.monotonic_s()
         name = self._slot_name(request)
         version = self._engine.held_version(name) if name else 0
-        self._record.granted(turn, name, version)
+        self._outcomes.record_granted(turn, name, version)
         return self._reply(version=version)
 
     async def _acquire_resources(self, turn: turn_lease.TurnLease) -> None:
@@ -276,16 +276,16 @@
         turn.record_step(self._clock.monotonic_s())
         if name:
             waited_s = self._clock.monotonic_s() - turn.requested_at_s
-            left_s = request.start_within_ms / _MS_PER_S - waited_s
+            remaining_s = request.start_within_ms / _MS_PER_S - waited_s
             await turn.resources.enter_async_context(
                 self._adapters.hold(
-                    name, left_s, use_s=self._expected_slot_use_s(request)
+                    name, remaining_s, use_s=self._expected_slot_use_s(request)
                 )
             )
         turn.record_step(self._clock.monotonic_s())
         await turn.resources.enter_async_context(reservation.turn())
         turn.record_step(self._clock.monotonic_s())
-        turn.expected.close()
+        turn.expected_prompt.close()
         await self._pacer.admit(
             request.prompt_tokens, request.flow, request.rank, request.weight
         )
@@ -303,7 +303,7 @@
         return prompt_s + self._expected_run_s(request)
 
     def _expected_run_s(self, request: turn_messages.TurnRequest) -> float:
-        return self._run_times.expected_s(
+        return self._run_durations.expected_s(
             request.expected_tokens or request.max_tokens
         )
 
@@ -311,7 +311,7 @@
         if turn.granted_at_s is None:
             return
         request = turn.request
-        self._run_times.learn(
+        self._run_durations.record(
             request.expected_tokens or request.max_tokens,
             self._clock.monotonic_s() - turn.granted_at_s,
         )
@@ -324,7 +324,7 @@
             if not turn.task.done():
                 turn.task.cancel()
                 await asyncio.wait([turn.task])
-        turn.expected.close()
+        turn.expected_prompt.close()
         await turn.resources.aclose()
 
     def _slot_name(self, request: turn_messages.TurnRequest) -> str:
@@ -365,7 +365,7 @@
         wait_s: float = 0.0,
         is_above_share: bool = False,
     ) -> turn_messages.TurnReply:
-        self._record.refused(request, error, is_above_share)
+        self._outcomes.record_refused(request, error, is_above_share)
         return self._reply(
             refusal=error.kind,
             detail=error.detail,
@@ -391,7 +391,7 @@
             retry_after_ms=retry_after_ms,
             configuration_version=self._configuration_version(),
             entry_count=len(self._entries),
-            hint=self._hint.now(),
+            hint=self._hint_builder.build(),
             started_at_ms=self._engine.started_at_ms,
             wait_ms=wait_ms,
         )
