--- a/lacewingpitch/dispatch.py
+++ b/lacewingpitch/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a request to sidecars until one answers, and never twice."""
+"""Dispatch of requests to sidecars: server selection and retries."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -19,7 +19,8 @@
 from lacewingpitch import work
 
 MAX_ATTEMPTS = 3
-_REPEATABLE_KINDS = frozenset(
+# The request may have run: only a repeatable one may be sent again.
+_POSSIBLY_RUN_KINDS = frozenset(
     {
         errors.ErrorKind.OUTCOME_UNKNOWN,
         errors.ErrorKind.WRONG_ADAPTER,
@@ -30,7 +31,22 @@
 
 
 class Dispatcher:
-    """Chooses a sidecar for a request and brings back its answer."""
+    """Selects a sidecar for each request, and retries failed attempts.
+
+    A request is sent again only if no earlier attempt can have run, or if
+    its contract lets it run twice.
+
+    Parameters
+    ----------
+    link
+        Sends attempts to sidecars.
+    membership
+        The sidecars that are live.
+    placement
+        Ranks the sidecars for a request.
+    ejector
+        Excludes sidecars that fail or do not respond.
+    """
 
     def __init__(
         self,
@@ -50,7 +66,10 @@
     async def send(
         self, order: work.WorkOrder, body: bytes, content_type: str
     ) -> AsyncIterator[sidecar_link.Reply]:
-        """Bring back the head of an answer, its body still to be read.
+        """Yield the reply to a request once its headers have arrived.
+
+        The body is still to be read.  An exception in the block cancels the
+        attempt.
 
         Raises
         ------
@@ -59,7 +78,7 @@
         """
         self.budget.deposit()
         with contextlib.closing(
-            await self._try_all(order, body, content_type)
+            await self._send_with_retries(order, body, content_type)
         ) as reply:
             try:
                 yield reply
@@ -67,24 +86,25 @@
                 self._link.cancel(reply.attempt)
                 raise
 
-    async def _try_all(
+    async def _send_with_retries(
         self, order: work.WorkOrder, body: bytes, content_type: str
     ) -> sidecar_link.Reply:
-        until_s = time.monotonic() + order.deadline_s
+        deadline_at_s = time.monotonic() + order.deadline_s
         may_have_run = False
-        last = errors.RefusalError(
-            errors.ErrorKind.NO_BACKEND_SERVER, 'none is known to be live'
+        last_error = errors.RefusalError(
+            errors.ErrorKind.NO_BACKEND_SERVER,
+            'no live backend server is known',
         )
         candidates = await self._candidates(order)
         permit = retry_budget.RetryPermit(self.budget, False)
-        for number, sidecar in enumerate(candidates):
-            if number and not await self._may_retry(number, permit):
+        for index, sidecar in enumerate(candidates):
+            if index and not await self._acquire_retry(index, permit):
                 break
             permit = retry_budget.RetryPermit(
                 self.budget,
                 order.repeatable and sidecar is not candidates[-1],
             )
-            left_s = until_s - time.monotonic()
+            left_s = deadline_at_s - time.monotonic()
             if left_s <= 0.0:
                 break
             order = msgspec.structs.replace(
@@ -94,7 +114,7 @@
                 order, sidecar, body, content_type, permit.acquire_early
             )
             try:
-                return await self._try(attempt)
+                return await self._send_attempt(attempt)
             except errors.RefusalError as error:
                 log.info(
                     'attempt failed',
@@ -103,48 +123,52 @@
                     kind=error.kind,
                     detail=error.detail,
                 )
-                # An engine that restarts ends a run that may be repeated,
-                # and the next attempt is refused before it runs.  That
-                # refusal speaks of one attempt; "not run" is a promise
-                # about the request, which the first has broken.
-                last = _after_a_run(error) if may_have_run else error
+                # The outcome "not run" is a promise about the whole request.
+                # A retry that was refused before it ran says nothing about
+                # an earlier attempt, which an engine's restart may have
+                # ended in the middle of its run.
+                last_error = _outcome_unknown(error) if may_have_run else error
                 may_have_run |= error.outcome is not errors.Outcome.NOT_RUN
-                if not _goes_again(error, order):
-                    raise last from error
-        raise last
+                if not _is_retryable(error, order):
+                    raise last_error from error
+        raise last_error
 
-    async def _may_retry(
-        self, number: int, permit: retry_budget.RetryPermit
+    async def _acquire_retry(
+        self, retry: int, permit: retry_budget.RetryPermit
     ) -> bool:
+        """Wait for the backoff; return ``False`` if no retry is left."""
         if not permit.acquire():
             return False
-        delay_s = retry_budget.backoff_s(number, self._random)
+        delay_s = retry_budget.backoff_s(retry, self._random)
         await asyncio.sleep(delay_s)
         return True
 
     async def _candidates(
         self, order: work.WorkOrder
     ) -> list[live_list.Instance]:
+        """Return the sidecars to try, in order of preference."""
         adapter = order.adapter
         if adapter is None:
-            found = self._placement.ranked_instances(
+            ranked = self._placement.ranked_instances(
                 order.request_id, self._membership.sidecars(order.service)
             )
         else:
-            found = await self._placement.locate(
+            ranked = await self._placement.locate(
                 adapter.engine_name,
                 self._membership.sidecars(adapter.base_model),
             )
-        names = [instance.name for instance in found]
+        names = [instance.name for instance in ranked]
         allowed = set(self.ejector.allowed(names))
-        return [i for i in found if i.name in allowed][:MAX_ATTEMPTS]
+        return [i for i in ranked if i.name in allowed][:MAX_ATTEMPTS]
 
-    async def _try(self, attempt: sidecar_link.Attempt) -> sidecar_link.Reply:
+    async def _send_attempt(
+        self, attempt: sidecar_link.Attempt
+    ) -> sidecar_link.Reply:
         name = attempt.sidecar.name
         self.ejector.record_start(name)
-        with contextlib.ExitStack() as held:
-            held.callback(self.ejector.record_end, name)
-            held.enter_context(
+        with contextlib.ExitStack() as exits:
+            exits.callback(self.ejector.record_end, name)
+            exits.enter_context(
                 self._placement.track_request(
                     _placement_key(attempt.order), name
                 )
@@ -155,28 +179,28 @@
                 self._link.cancel(attempt)
                 raise
             except errors.RefusalError as error:
-                if error.kind in _REPEATABLE_KINDS:
+                if error.kind in _POSSIBLY_RUN_KINDS:
                     self.ejector.record_failure(name)
                 raise
             self.ejector.record_success(name)
             return sidecar_link.Reply(
-                self._link, attempt, response, held.pop_all()
+                self._link, attempt, response, exits.pop_all()
             )
 
 
-def _goes_again(error: errors.RefusalError, order: work.WorkOrder) -> bool:
+def _is_retryable(error: errors.RefusalError, order: work.WorkOrder) -> bool:
     """Return whether another sidecar may get the request.
 
-    Either it provably did not run, or it may run twice and nothing of
-    its answer was delivered.
+    That is so if it certainly did not run, or if it may run twice and no
+    part of its answer was delivered.
     """
     if error.retry_elsewhere:
         return True
-    return order.repeatable and error.kind in _REPEATABLE_KINDS
+    return order.repeatable and error.kind in _POSSIBLY_RUN_KINDS
 
 
-def _after_a_run(error: errors.RefusalError) -> errors.RefusalError:
-    """Return what to answer when an earlier attempt may have run."""
+def _outcome_unknown(error: errors.RefusalError) -> errors.RefusalError:
+    """Return the refusal to send if an earlier attempt may have run."""
     return errors.RefusalError(
         errors.ErrorKind.OUTCOME_UNKNOWN,
         f'an earlier attempt may have run; the last: {error.detail}',
@@ -185,6 +209,7 @@
 
 
 def _placement_key(order: work.WorkOrder) -> str:
+    """Return the key that requests for the same adapter share."""
     if order.adapter is None:
         return order.request_id
     return order.adapter.engine_name
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""What is sent again, and how often, with the real dispatcher."""
+"""Tests of the dispatcher: which requests are retried, and how often."""
 
 import asyncio
 import contextlib
@@ -12,8 +12,8 @@
 bench = fake_sidecars.bench
 
 
-class TestSendingAgain:
-    async def test_what_did_not_run_goes_elsewhere(self, bench):
+class TestRetries:
+    async def test_request_that_did_not_run_is_sent_elsewhere(self, bench):
         bench.fail_with(ErrorKind.QUEUE_FULL)
         bench.sidecars[2].kind = None
         for _ in range(3):
@@ -22,7 +22,7 @@
     @pytest.mark.parametrize(
         'kind', [ErrorKind.OUTCOME_UNKNOWN, ErrorKind.WRONG_ADAPTER]
     )
-    async def test_what_may_have_run_goes_again_if_repeatable(
+    async def test_request_that_may_have_run_is_retried_only_if_repeatable(
         self, bench, kind
     ):
         bench.fail_with(kind)
@@ -33,26 +33,26 @@
             await bench.send(repeatable=True)
         assert bench.calls > 2
 
-    async def test_not_run_is_not_said_after_an_attempt_that_may_have_run(
+    async def test_not_run_is_not_reported_after_an_attempt_that_may_have_run(
         self, bench
     ):
-        """A caller is told "not run", and the engine worked on it.
+        """Guards against reporting "not run" after an engine has worked.
 
         The first attempt reaches an engine that restarts empty; the next
-        is refused before it runs, as the adapter cannot be loaded in
-        time.  The last refusal was passed on as if it spoke for both.
+        is refused before it runs, as the adapter cannot be loaded in time.
+        The second refusal must not be reported for both attempts.
         """
         bench.fail_in_turn(
             ErrorKind.OUTCOME_UNKNOWN, ErrorKind.DEADLINE_UNREACHABLE
         )
-        with pytest.raises(errors.RefusalError) as told:
+        with pytest.raises(errors.RefusalError) as caught:
             await bench.send(repeatable=True)
         assert bench.calls > 1
-        assert told.value.outcome is errors.Outcome.UNKNOWN
-        assert told.value.status == 504
-        assert told.value.retry_after_s == 2.0
+        assert caught.value.outcome is errors.Outcome.UNKNOWN
+        assert caught.value.status == 504
+        assert caught.value.retry_after_s == 2.0
 
-    async def test_what_no_other_can_do_better_stays(self, bench):
+    async def test_refusal_that_holds_everywhere_is_not_retried(self, bench):
         bench.fail_with(ErrorKind.BAD_REQUEST)
         with pytest.raises(errors.RefusalError):
             await bench.send()
@@ -70,10 +70,10 @@
 
 
 class TestOutage:
-    async def test_calls_per_request_stay_under_the_goal(self, bench):
-        """An outage becomes worse because everybody tries three times.
+    async def test_calls_per_request_stay_below_the_limit(self, bench):
+        """Guards against retries that make an outage worse.
 
-        Every sidecar refuses; the requests may be sent again.
+        Every sidecar refuses, and every request may be sent three times.
         """
         bench.fail_with(ErrorKind.QUEUE_FULL)
 
--- a/tests/test_sidecar_link.py
+++ b/tests/test_sidecar_link.py
@@ -1,4 +1,4 @@
-"""A sidecar that keeps its connection and does not answer."""
+"""Tests of the link to sidecars that keep a connection and do not answer."""
 
 import asyncio
 
@@ -14,21 +14,21 @@
 
 
 @pytest.fixture(autouse=True)
-def _impatient(monkeypatch):
-    monkeypatch.setattr(sidecar_link, '_ASK_AFTER_S', 0.05)
+def _short_poll_delay(monkeypatch):
+    monkeypatch.setattr(sidecar_link, '_FIRST_POLL_DELAY_S', 0.05)
 
 
-async def ask_a_held_one(bench, **fields):
-    """Send a request to a sidecar that holds it."""
+async def start_held_request(bench, **fields):
+    """Start a request; return its task and the sidecar that holds it."""
     for sidecar in bench.sidecars:
         bench.hold(sidecar)
-    asking = asyncio.create_task(bench.send(**fields))
+    request = asyncio.create_task(bench.send(**fields))
     await until(lambda: bench.calls == 1)
     held = bench.asked_sidecar()
     for sidecar in bench.sidecars:
         if sidecar is not held:
             sidecar.held = None
-    return asking, held
+    return request, held
 
 
 async def until(predicate):
@@ -37,92 +37,97 @@
             await asyncio.sleep(0.01)
 
 
-class TestSilentSidecar:
-    async def test_request_that_may_repeat_goes_elsewhere(self, bench):
-        """Callers wait for as long as one sidecar of three is frozen.
+class TestUnresponsiveSidecar:
+    async def test_repeatable_request_is_sent_elsewhere(self, bench):
+        """Guards against callers that wait while one sidecar is frozen.
 
-        It keeps its connections, so nothing fails; each request that was
-        sent to it waits until its deadline.
+        A frozen sidecar keeps its connections, so nothing fails, and each
+        request sent to it would wait until its deadline.
         """
-        asking, held = await ask_a_held_one(bench, deadline_s=60.0)
-        assert await asking == b'done'
+        request, held = await start_held_request(bench, deadline_s=60.0)
+        assert await request == b'done'
         assert bench.calls == 2
         names = [f'sidecar-{number}' for number in range(3)]
-        passed_over = names[bench.sidecars.index(held)]
-        assert passed_over not in bench.dispatcher.ejector.allowed(names)
+        ejected = names[bench.sidecars.index(held)]
+        assert ejected not in bench.dispatcher.ejector.allowed(names)
 
-    async def test_one_that_may_not_waits_on(self, bench):
-        asking, held = await ask_a_held_one(bench, repeatable=False)
+    async def test_unrepeatable_request_keeps_waiting(self, bench):
+        request, held = await start_held_request(bench, repeatable=False)
         await until(lambda: len(bench.peers.asked) >= 4)
         assert bench.calls == 1
         held.held.set()
-        assert await asking == b'done'
+        assert await request == b'done'
         assert bench.calls == 1
 
-    async def test_without_a_token_it_waits_on(self, bench):
-        """Requests that leave a frozen sidecar together end in errors.
+    async def test_request_without_a_retry_token_keeps_waiting(self, bench):
+        """Guards against errors of requests that leave a sidecar together.
 
-        All count on the last token of the budget; those that find none
-        left would have been served once the sidecar woke up.
+        Several requests rely on the last token of the retry budget.  Those
+        that find none left fail, although the sidecar would have served
+        them once it resumed.
         """
         while bench.dispatcher.budget.try_withdraw():
             pass
-        asking, held = await ask_a_held_one(bench)
+        request, held = await start_held_request(bench)
         await until(lambda: len(bench.peers.asked) >= 4)
-        assert not asking.done()
+        assert not request.done()
         held.held.set()
-        assert await asking == b'done'
+        assert await request == b'done'
 
-    async def test_own_pause_is_no_silence_of_the_sidecar(self, bench):
-        """Work runs twice although no sidecar was silent.
+    async def test_pause_of_the_entry_is_not_blamed_on_the_sidecar(
+        self, bench
+    ):
+        """Guards against running work twice although the sidecar is well.
 
-        The entry itself is frozen while it asks: when it wakes up, the
-        time for the reply has run out.  The second question is answered.
+        The entry itself is frozen while it polls: when it resumes, the time
+        for the reply has run out.  The second poll is answered.
         """
         bench.peers.replies = [None, State.STARTED]
-        asking, held = await ask_a_held_one(bench)
+        request, held = await start_held_request(bench)
         await until(lambda: len(bench.peers.asked) >= 3)
         held.held.set()
-        assert await asking == b'done'
+        assert await request == b'done'
         assert bench.calls == 1
 
-    async def test_it_is_asked_before_it_is_tried_again(
+    async def test_sidecar_is_polled_before_its_next_trial(
         self, bench, monkeypatch
     ):
-        """A request that may run once waits at a sidecar known to be frozen.
+        """Guards against a request that waits at a sidecar known as frozen.
 
-        Its ejection is over, and the next request is its trial.
+        The request may run only once.  The sidecar's ejection has ended, and
+        the request is its trial.
         """
         ejector = bench.dispatcher.ejector
         monkeypatch.setattr(ejector, 'allowed', list)
         for number in range(3):
             ejector.record_unresponsive(f'sidecar-{number}')
-        with pytest.raises(errors.RefusalError) as told:
+        with pytest.raises(errors.RefusalError) as caught:
             await bench.send(repeatable=False)
-        assert told.value.outcome is errors.Outcome.NOT_RUN
+        assert caught.value.outcome is errors.Outcome.NOT_RUN
         assert bench.calls == 0
         bench.peers.replies = [State.FORGOTTEN]
         assert await bench.send(repeatable=False) == b'done'
 
 
-class TestSilentLink:
-    async def test_what_did_not_arrive_goes_elsewhere(self, bench):
-        """A request waits in a link that takes bytes and passes none on.
+class TestHalfOpenLink:
+    async def test_request_that_did_not_arrive_is_sent_elsewhere(self, bench):
+        """Guards against a request that waits in a half-open link.
 
-        The sidecar is well and knows nothing of it.  Its promise never
-        to run it lets even one that may run once go elsewhere.
+        The link accepts bytes and delivers none; the sidecar is well and
+        has not received the request.  Its promise never to run it lets even
+        a request that may run only once be sent elsewhere.
         """
         bench.peers.replies = [State.FORGOTTEN, State.FORGOTTEN, State.VOID]
-        asking, _ = await ask_a_held_one(bench, repeatable=False)
-        assert await asking == b'done'
+        request, _ = await start_held_request(bench, repeatable=False)
+        assert await request == b'done'
         assert bench.calls == 2
         only_asked = [message.only_asks for message in bench.peers.asked]
         assert only_asked == [True, True, False]
 
-    async def test_sidecar_that_cannot_know_is_waited_for(self, bench):
+    async def test_sidecar_without_a_record_is_waited_for(self, bench):
         bench.peers.replies = [State.FORGOTTEN]
-        asking, held = await ask_a_held_one(bench, repeatable=False)
+        request, held = await start_held_request(bench, repeatable=False)
         await until(lambda: len(bench.peers.asked) >= 5)
         held.held.set()
-        assert await asking == b'done'
+        assert await request == b'done'
         assert bench.calls == 1
