--- a/lacewingpitch/link.py
+++ b/lacewingpitch/link.py
@@ -1,13 +1,15 @@
-"""Control messages between the system's own processes, over pynng.
-
-A message is a msgpack envelope followed by an HMAC of it.  A message
-that is malformed, of another protocol version, of another deployment or
-wrongly signed is counted and refused; it never reaches a handler.
-
-There are two forms.  The long one names fields, kind, deployment and
-sender, and is what protocol 1 reads.  The short one leaves out what the
-receiver knows.  A process reads both, answers in the form it was asked
-in, and asks in the short form only where a reply showed that it is read.
+"""Control links: signed request-reply messages between processes, by pynng.
+
+A message is a msgpack envelope followed by its HMAC.  A message that is
+malformed, wrongly signed, of another deployment or of a protocol that is too
+old is refused and counted; it never reaches a handler.
+
+Messages have two encodings.  The long form names fields, kind, deployment
+and sender; protocol 1 reads only this form.  The short form omits what the
+receiver knows: it identifies fields by position, and the kind and the
+deployment by a hash.  Every process reads both forms and replies in the form
+of the request.  It sends requests in the short form once a reply has shown
+that the peer reads it.
 """
 
 import asyncio
@@ -31,28 +33,28 @@
 PROTOCOL_VERSION = 2
 OLDEST_PROTOCOL_VERSION = 1
 MAX_MESSAGE_BYTES = 1 << 20
-_SHORT_SINCE = 2
-# No msgpack begins with this byte, so no message can be read in both
-# forms, and neither form's HMAC is one of the other.
-_SHORT_MARK = b'\xc1'
+_SHORT_FORM_SINCE = 2
+# msgpack never uses this byte.  It separates the two forms: no message is
+# valid in both, and the HMAC of one form is never valid in the other.
+_SHORT_PREFIX = b'\xc1'
 _TAG_BYTES = 32
 _SHORT_TAG_BYTES = 16
 _CODE_MASK = 0xFFFF
 _DEPLOYMENT_MASK = 0xFFFFFFFF
-_SERVER_CONTEXTS = 16
+_SERVER_CONTEXT_COUNT = 16
 
 Reply = TypeVar('Reply', bound=msgspec.Struct)
-Finished = TypeVar('Finished')
+Result = TypeVar('Result')
 Handler = Callable[[Any], Awaitable[msgspec.Struct]]
 log = structlog.get_logger(__name__)
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of control messages.
+    """Base class of control messages.
 
-    Unknown fields are ignored and new ones carry defaults, so that two
-    versions can talk during a rolling upgrade.  New ones come last, as
-    the short form goes by their order.
+    The class name and the order of the fields are part of the protocol.
+    Two versions exchange messages during a rolling upgrade, so receivers
+    ignore unknown fields, and new fields need defaults and come last.
     """
 
 
@@ -73,12 +75,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VerifiedMessage:
-    """A message whose signature is right.
+    """A message with a valid signature, its body not yet decoded.
 
     Parameters
     ----------
+    protocol
+        Protocol version of the sender.
     kind
-        Name of its type, or the code of that in the short form.
+        Name of the message type; its code in the short form.
+    body
+        Encoded message.
+    is_short
+        Whether it came in the short form.
     """
 
     protocol: int
@@ -87,25 +95,37 @@
     is_short: bool
 
     def has_kind(self, kind: type[msgspec.Struct]) -> bool:
-        """Whether it says to be of that type."""
+        """Return whether the envelope names that message type."""
         return self.kind in (kind.__name__, kind_code(kind.__name__))
 
     def decode(self, kind: type[Reply]) -> Reply:
-        """Return the message.
+        """Return the decoded message.
 
         Raises
         ------
         DecodeError
-            It is none of that type.
+            The body is not a message of that type.
         """
         if not self.is_short or kind.__struct_config__.array_like:
             return msgspec.msgpack.decode(self.body, type=kind)
-        unnamed = msgspec.msgpack.decode(self.body, type=_unnamed(kind))
-        return kind(*msgspec.structs.astuple(unnamed))
+        positional = msgspec.msgpack.decode(
+            self.body, type=_positional_type(kind)
+        )
+        return kind(*msgspec.structs.astuple(positional))
 
 
 class MessageSigner:
-    """Signs and checks the messages of one deployment."""
+    """Signs and verifies messages with the secret of one deployment.
+
+    Parameters
+    ----------
+    deployment
+        Name of the deployment; messages of another one are refused.
+    secret
+        Key of the HMAC.
+    sender
+        Name of this instance, in messages of the long form.
+    """
 
     def __init__(self, deployment: str, secret: str, sender: str) -> None:
         self._deployment = deployment
@@ -116,7 +136,7 @@
         self._sender = sender
 
     def sign(self, message: msgspec.Struct) -> bytes:
-        """Return the signed bytes of `message`, as all versions read it."""
+        """Return `message` signed, in the long form that all versions read."""
         body = msgspec.Raw(msgspec.msgpack.encode(message))
         kind = type(message).__name__
         data = msgspec.msgpack.encode(
@@ -127,9 +147,9 @@
         return data + self._tag(data)
 
     def sign_short(self, message: msgspec.Struct) -> bytes:
-        """Return the signed bytes of `message`, in the short form."""
+        """Return `message` signed, in the short form."""
         values = _without_defaults(message)
-        data = _SHORT_MARK + msgspec.msgpack.encode(
+        data = _SHORT_PREFIX + msgspec.msgpack.encode(
             _ShortEnvelope(
                 PROTOCOL_VERSION,
                 self._deployment_code,
@@ -140,12 +160,12 @@
         return data + self._tag(data)[:_SHORT_TAG_BYTES]
 
     def verify(self, data: bytes) -> VerifiedMessage:
-        """Return a signed message, of either form.
+        """Return a message of either form if its signature is valid.
 
         Raises
         ------
         LinkError
-            The message is not one of this deployment's.
+            It is malformed, or not a message of this deployment.
         """
         is_short = is_short_form(data)
         tag_bytes = _SHORT_TAG_BYTES if is_short else _TAG_BYTES
@@ -162,7 +182,7 @@
     ) -> VerifiedMessage:
         envelope: _Envelope | _ShortEnvelope
         if is_short:
-            content = content.removeprefix(_SHORT_MARK)
+            content = content.removeprefix(_SHORT_PREFIX)
             envelope = msgspec.msgpack.decode(content, type=_ShortEnvelope)
         else:
             envelope = msgspec.msgpack.decode(content, type=_Envelope)
@@ -182,13 +202,13 @@
 
 
 def is_short_form(data: bytes) -> bool:
-    """Whether bytes can only be meant as a message in the short form."""
-    return data[:1] == _SHORT_MARK
+    """Return whether `data` has the prefix of the short form."""
+    return data[:1] == _SHORT_PREFIX
 
 
 @functools.cache
 def kind_code(name: str) -> int:
-    """Return what stands for the name of a type in the short form."""
+    """Return the code of a message type in the short form."""
     return xxhash.xxh3_64_intdigest(name.encode()) & _CODE_MASK
 
 
@@ -203,7 +223,7 @@
 
 
 def _without_defaults(message: msgspec.Struct) -> tuple[Any, ...]:
-    """Return the values of the fields, without defaults at the end."""
+    """Return the field values, without trailing ones that are defaults."""
     values = msgspec.structs.astuple(message)
     defaults = _defaults(type(message))
     count = len(values)
@@ -213,16 +233,16 @@
 
 
 @functools.cache
-def _unnamed(kind: type[msgspec.Struct]) -> type[msgspec.Struct]:
-    """Return the same type, but with fields known by their order."""
+def _positional_type(kind: type[msgspec.Struct]) -> type[msgspec.Struct]:
+    """Return the same type, encoded with fields by position."""
     fields: list[tuple[str, Any, Any]] = []
     for field in msgspec.structs.fields(kind):
-        given = msgspec.field()
+        new_field = msgspec.field()
         if field.default_factory is not msgspec.NODEFAULT:
-            given = msgspec.field(default_factory=field.default_factory)
+            new_field = msgspec.field(default_factory=field.default_factory)
         elif field.default is not msgspec.NODEFAULT:
-            given = msgspec.field(default=field.default)
-        fields.append((field.name, field.type, given))
+            new_field = msgspec.field(default=field.default)
+        fields.append((field.name, field.type, new_field))
     return msgspec.defstruct(kind.__name__, fields, array_like=True)
 
 
@@ -231,16 +251,18 @@
 
 
 class ControlServer:
-    """Answers control messages, each by the handler of its type.
+    """Answers control messages, each with the handler of its type.
 
     Parameters
     ----------
+    signer
+        Verifies requests and signs replies.
     context_count
-        Messages that are handled at once; more wait in the transport.
+        Messages handled concurrently; further ones wait in the transport.
     """
 
     def __init__(
-        self, signer: MessageSigner, context_count: int = _SERVER_CONTEXTS
+        self, signer: MessageSigner, context_count: int = _SERVER_CONTEXT_COUNT
     ) -> None:
         self._signer = signer
         self._context_count = context_count
@@ -262,20 +284,20 @@
         code = kind_code(kind.__name__)
         other = self._handlers.get(code)
         if other is not None and other[0] is not kind:
-            raise ValueError(f'{kind} and {other[0]} have one code')
+            raise ValueError(f'{kind} and {other[0]} have the same code')
         self._handlers[kind.__name__] = (kind, handler)
         self._handlers[code] = (kind, handler)
 
     async def start(self, ip: str, port: int) -> None:
-        """Listen on `ip` and `port`; port 0 takes a free one."""
+        """Listen on `ip` and `port`; port 0 selects a free port."""
         rep = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
         self._exits.callback(rep.close)
         listener = rep.listen(f'tcp://{ip}:{port}')
-        # pynng gives the port in network byte order.
+        # pynng returns the port in network byte order.
         self.port = port or socket.ntohs(listener.local_address.port)
         for _ in range(self._context_count):
             task = asyncio.create_task(self._serve(rep.new_context()))
-            self._exits.push_async_callback(_cancel, task)
+            self._exits.push_async_callback(_cancel_and_wait, task)
 
     async def close(self) -> None:
         """Stop listening."""
@@ -284,14 +306,14 @@
     async def _serve(self, context: pynng.Context) -> None:
         with contextlib.closing(context):
             while True:
-                data = await _finish(context.arecv())
+                data = await _await_cancellable(context.arecv())
                 reply = await self._answer(data)
                 with contextlib.suppress(pynng.NNGException):
-                    await _finish(context.asend(reply))
+                    await _await_cancellable(context.asend(reply))
 
     async def _answer(self, data: bytes) -> bytes:
-        # Whoever asks in one form reads that form; a process of before
-        # the short form gets no reply that it cannot read.
+        # The requester reads the form that it sent.  A process of protocol 1
+        # thus gets its replies, refusals included, in the long form.
         sign = self._signer.sign
         if is_short_form(data):
             sign = self._signer.sign_short
@@ -308,26 +330,35 @@
         try:
             return sign(await handler(message))
         except Exception:
-            # A failing handler must not end the serving task: the peer
-            # would see nothing but timeouts from then on.
+            # An exception must not end the serving task: once all of them
+            # had ended, every request would time out.
             log.exception('control handler failed', kind=kind.__name__)
             return sign(self._refuse('handler failed'))
 
     def _refuse(self, reason: str) -> _Refused:
-        # Reasons are fixed texts, so that nobody can make the table grow.
+        # Only fixed texts: otherwise a sender could grow the counter without
+        # limit.
         self.refused_count[reason] += 1
         return _Refused(reason=reason)
 
 
 class Peer:
-    """The control link to one other process."""
+    """Control link to one other process.
+
+    Parameters
+    ----------
+    signer
+        Signs requests and verifies replies.
+    ip, port
+        Address of the peer's control server.
+    """
 
     def __init__(self, signer: MessageSigner, ip: str, port: int) -> None:
         self._signer = signer
         self.address = f'tcp://{ip}:{port}'
         self._socket = pynng.Req0(recv_max_size=MAX_MESSAGE_BYTES)
         self._socket.dial(self.address, block=False)
-        self._reads_short = False
+        self._reads_short_form = False
 
     def close(self) -> None:
         """Close the link."""
@@ -335,7 +366,7 @@
 
     @contextlib.contextmanager
     def _context(self) -> Iterator[pynng.Context]:
-        # A link that is closed while somebody asks fails here as well.
+        # The link may be closed while a request is in progress.
         try:
             context = self._socket.new_context()
         except pynng.NNGException as error:
@@ -349,17 +380,18 @@
     async def ask(
         self, message: msgspec.Struct, kind: type[Reply], timeout_s: float
     ) -> Reply:
-        """Send `message` and return the reply.
+        """Send `message` and return the reply, of type `kind`.
 
-        The message may arrive more than once, so handlers are
+        The message may arrive more than once, so handlers must be
         idempotent.
 
         Raises
         ------
         LinkError
-            No usable reply within `timeout_s`; a `NoReplyError` if none.
+            No valid reply within `timeout_s`; `NoReplyError` if there was
+            no reply at all.
         """
-        async with _limit(self.address, timeout_s):
+        async with _reply_timeout(self.address, timeout_s):
             verified = await self._exchange(message)
         if verified.has_kind(_Refused):
             raise errors.LinkError(f'{self.address} replied _Refused')
@@ -371,24 +403,35 @@
             raise errors.LinkError(f'malformed reply: {error}') from error
 
     async def _exchange(self, message: msgspec.Struct) -> VerifiedMessage:
-        if self._reads_short:
+        if self._reads_short_form:
             verified = await self._send(self._signer.sign_short(message))
             if verified.is_short:
                 return verified
-            # A process of an older version has taken the place of the one
-            # that was there, and refused what it cannot read.
+            # A process of an older version runs at this address now.  It
+            # cannot read the short form and refused in the long one, so the
+            # request is sent again in the long form.
         verified = await self._send(self._signer.sign(message))
-        self._reads_short = verified.protocol >= _SHORT_SINCE
+        self._reads_short_form = verified.protocol >= _SHORT_FORM_SINCE
         return verified
 
     async def _send(self, data: bytes) -> VerifiedMessage:
         with self._context() as context:
-            await _finish(context.asend(data))
-            return self._signer.verify(await _finish(context.arecv()))
+            await _await_cancellable(context.asend(data))
+            return self._signer.verify(
+                await _await_cancellable(context.arecv())
+            )
 
 
 class PeerPool:
-    """The links that this process keeps open, least recently used out."""
+    """Pool of open control links; closes the least recently used.
+
+    Parameters
+    ----------
+    signer
+        Signs requests and verifies replies.
+    capacity_peers
+        Maximum number of open links.
+    """
 
     def __init__(
         self, signer: MessageSigner, capacity_peers: int = 256
@@ -418,7 +461,9 @@
 
 
 @contextlib.asynccontextmanager
-async def _limit(address: str, timeout_s: float) -> AsyncIterator[None]:
+async def _reply_timeout(
+    address: str, timeout_s: float
+) -> AsyncIterator[None]:
     try:
         async with asyncio.timeout(timeout_s):
             yield
@@ -428,23 +473,25 @@
         ) from error
 
 
-async def _finish(operation: Awaitable[Finished]) -> Finished:
-    """Await an operation of pynng, and stay open to cancelling."""
-    # pynng drops a cancellation that meets an operation just done.  A
-    # closing server then waits for ever for a task that serves on, and a
-    # timeout that has fired once leaves the next operation without end.
+async def _await_cancellable(operation: Awaitable[Result]) -> Result:
+    """Await an operation of pynng without losing a cancellation."""
+    # pynng swallows a cancellation that arrives as the operation completes.
+    # A closing server would then wait forever for a task that goes on
+    # serving, and a timeout, which fires only once, would not end the next
+    # operation.
     task = asyncio.current_task()
     assert task is not None
-    before = task.cancelling()
+    cancelling_before = task.cancelling()
     result = await operation
-    if task.cancelling() > before:
+    if task.cancelling() > cancelling_before:
         raise asyncio.CancelledError
     return result
 
 
-async def _cancel(task: asyncio.Task[None]) -> None:
+async def _cancel_and_wait(task: asyncio.Task[None]) -> None:
     task.cancel()
-    # Unlike awaiting the task, this tells its cancellation from ours.
+    # Awaiting the task itself would not distinguish its cancellation from
+    # that of the current task.
     await asyncio.wait({task})
     if not task.cancelled() and task.exception() is not None:
         log.warning('serving task failed', error=repr(task.exception()))
--- a/tests/other_versions.py
+++ b/tests/other_versions.py
@@ -22,7 +22,7 @@
 def run_previous():
     """Run a daemon that neither writes nor reads the short form."""
     link.PROTOCOL_VERSION = 1
-    link._SHORT_SINCE = link.PROTOCOL_VERSION + 2
+    link._SHORT_FORM_SINCE = link.PROTOCOL_VERSION + 2
     # To the release before, such a message is one wrongly signed.
     link.is_short_form = lambda data: False
     cli.main()
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Control messages between processes, and what is no such message."""
+"""Tests of control links: valid, invalid and cancelled messages."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 IP = '127.0.0.1'
 SECRET = 'a secret of sixteen'
 TIMEOUT_S = 10.0
-# More than the server serves at once: a task that ended would be missed.
+# More messages than the server has tasks, so that each task gets one.
 MANY = 40
 
 
@@ -36,8 +36,8 @@
     return link.MessageSigner(deployment, secret, sender)
 
 
-class OldSigner(link.MessageSigner):
-    """Seals and opens as the processes of protocol 1 did."""
+class Protocol1Signer(link.MessageSigner):
+    """Signs and verifies as processes of protocol 1 do."""
 
     def sign(self, message):
         content = [1, 'test', 'a', type(message).__name__]
@@ -53,7 +53,7 @@
 
 
 class Server:
-    """A control server that answers pings, and one link to it."""
+    """A control server that answers pings, and a pool of links to it."""
 
     async def __aenter__(self):
         self.control = link.ControlServer(make_signer())
@@ -87,21 +87,21 @@
                 await req.asend(data)
                 return await req.arecv()
 
-    def watch(self):
-        """Return a list to which each message adds if it is short."""
+    def record_forms(self):
+        """Return a list that records of each message whether it is short."""
         sent = []
         answer = self.control._answer
 
-        async def noting(data):
+        async def recording(data):
             sent.append(link.is_short_form(data))
             return await answer(data)
 
-        self.control._answer = noting
+        self.control._answer = recording
         return sent
 
-    def turn_into_protocol_1(self):
-        """Read and reply from now on as a process of before."""
-        self.control._signer = OldSigner('test', SECRET, 'a')
+    def switch_to_protocol_1(self):
+        """Read and reply from now on as a process of protocol 1."""
+        self.control._signer = Protocol1Signer('test', SECRET, 'a')
 
     async def still_serves(self):
         replies = await asyncio.gather(
@@ -117,7 +117,7 @@
 
 
 def envelope(**fields):
-    """Return a signed envelope with some fields set otherwise."""
+    """Return a signed envelope with some fields replaced."""
     content = {
         'protocol': link.PROTOCOL_VERSION,
         'deployment': 'test',
@@ -129,7 +129,7 @@
 
 
 def short(**fields):
-    """Return a signed short envelope with some fields set otherwise."""
+    """Return a signed short envelope with some fields replaced."""
     content = {
         'protocol': link.PROTOCOL_VERSION,
         'deployment': make_signer()._deployment_code,
@@ -150,7 +150,7 @@
 
 
 FORMS = [link.MessageSigner.sign, link.MessageSigner.sign_short]
-MARKS = [b'', b'\xc1']
+PREFIXES = [b'', b'\xc1']
 NESTED = b'\x91' * 100_000
 REFUSED = [
     (b'', 'wrong signature'),
@@ -172,7 +172,7 @@
     (b'\xc1', 'wrong signature'),
     (b'\xc1' * 100, 'wrong signature'),
     (short()[:-1], 'wrong signature'),
-    # The HMAC of one form is none of the other.
+    # The HMAC of one form is not valid in the other.
     (short()[:-16] + make_signer()._tag(short()[:-16]), 'wrong signature'),
     (envelope()[:-16], 'wrong signature'),
     (
@@ -194,22 +194,24 @@
 
 class TestRefusals:
     @pytest.mark.parametrize(('data', 'reason'), REFUSED)
-    async def test_are_counted_and_end_nothing(self, server, data, reason):
-        """Peers see nothing but timeouts, from one message on.
+    async def test_are_counted_and_do_not_end_serving(
+        self, server, data, reason
+    ):
+        """Guards against invalid messages that end the serving tasks.
 
-        It was malformed or foreign, and raised out of the task that
-        serves; after one such message for each task nobody answers.
+        Such a message raises an exception.  If that ended its task, every
+        request would time out after one such message for each task.
         """
         for _ in range(MANY):
             reply = make_signer().verify(await server.send_raw(data))
             assert reply.has_kind(link._Refused)
-            # Who can read only one form gets its refusal in that form.
+            # A sender that reads only one form gets its refusal in it.
             assert reply.is_short == link.is_short_form(data)
         assert server.control.refused_count == {reason: MANY}
         assert await server.still_serves()
 
     @pytest.mark.parametrize('note', ['fail', 'huge'])
-    async def test_of_a_failing_handler_end_nothing(self, server, note):
+    async def test_of_a_failing_handler_do_not_end_serving(self, server, note):
         for _ in range(MANY):
             with pytest.raises(errors.LinkError, match='Refused'):
                 await server.ask(Ping(number=1, note=note))
@@ -223,22 +225,22 @@
             await peer.ask(Ping(number=1, note='x' * size), Pong, 0.5)
         assert await server.still_serves()
 
-    async def test_another_deployment_learns_nothing(self, server):
+    async def test_a_foreign_deployment_cannot_read_a_reply(self, server):
         foreign = make_signer(secret='another secret of 16')
         with pytest.raises(errors.LinkError, match='signature'):
             await server.ask(Ping(number=1), signer=foreign)
 
-    async def test_a_reply_of_another_kind_is_not_used(self, server):
+    async def test_a_reply_of_another_kind_is_rejected(self, server):
         with pytest.raises(errors.LinkError, match='replied Pong'):
             await server.ask(Ping(number=1), kind=Ping)
 
 
 class TestCancelling:
     async def test_a_server_closes_while_messages_arrive(self):
-        """An instance that was told to stop never exits.
+        """Guards against an instance that does not exit when it is stopped.
 
-        A control message arrived in the same moment as the cancellation
-        of the task that serves; the library dropped the cancellation.
+        A control message arrives at the same time as the cancellation of a
+        serving task; the library swallows the cancellation.
         """
         async with contextlib.AsyncExitStack() as held:
             server = Server()
@@ -248,22 +250,22 @@
                 req = held.enter_context(pynng.Req0())
                 req.dial(f'tcp://{IP}:{server.control.port}', block=True)
                 req.send(make_signer().sign(Ping(number=1)))
-            # The library's threads take the messages meanwhile; the loop
-            # stands still, so that no task sees its message yet.
+            # Meanwhile the library's threads receive the messages.  The loop
+            # is blocked, so no task sees its message yet.
             time.sleep(0.5)
             closing = asyncio.create_task(server.__aexit__())
             await asyncio.wait({closing}, timeout=TIMEOUT_S)
             assert closing.done()
 
-    async def test_a_cancelled_sender_does_not_go_on(self, server):
-        """A request's time is over, and it waits on without end.
+    async def test_a_cancelled_request_ends(self, server):
+        """Guards against a request that waits forever after its timeout.
 
-        Its timeout fired just as a message had been sent, was dropped,
-        and does not fire again for the reply.
+        The timeout fires as the message has just been sent, the library
+        swallows it, and it does not fire again while the reply is awaited.
         """
         asking = asyncio.create_task(server.ask(Ping(number=1, note='hold')))
         await asyncio.sleep(0)
-        # The message is sent, while the loop stands still.
+        # The message is sent while the loop is blocked.
         time.sleep(0.5)
         asking.cancel()
         await asyncio.wait({asking}, timeout=TIMEOUT_S / 2)
@@ -271,14 +273,14 @@
 
 
 class TestMessageSigner:
-    @given(strategies.binary(max_size=200), strategies.sampled_from(MARKS))
-    def test_opens_nothing_unsigned(self, data, mark):
+    @given(strategies.binary(max_size=200), strategies.sampled_from(PREFIXES))
+    def test_rejects_unsigned_bytes(self, data, prefix):
         with pytest.raises(errors.LinkError):
-            make_signer().verify(mark + data)
+            make_signer().verify(prefix + data)
 
     @pytest.mark.parametrize('form', FORMS)
     @given(strategies.integers(min_value=0), strategies.integers(1, 255))
-    def test_opens_nothing_that_was_changed(self, form, position, flip):
+    def test_rejects_a_changed_message(self, form, position, flip):
         data = bytearray(form(make_signer(), Ping(number=1, note='note')))
         data[position % len(data)] ^= flip
         with pytest.raises(errors.LinkError):
@@ -288,9 +290,7 @@
         strategies.binary(max_size=200),
         strategies.sampled_from([sign, sign_short]),
     )
-    def test_signed_bytes_give_a_message_or_one_kind_of_error(
-        self, data, signed
-    ):
+    def test_signed_bytes_give_a_message_or_a_link_error(self, data, signed):
         try:
             make_signer().verify(signed(data))
         except errors.LinkError:
@@ -298,16 +298,14 @@
 
     @pytest.mark.parametrize('form', FORMS)
     @given(strategies.integers(0, 1 << 60), strategies.text(max_size=20))
-    def test_opens_what_it_sealed(self, form, number, note):
+    def test_verifies_what_it_signed(self, form, number, note):
         ping = Ping(number=number, note=note)
         message = make_signer(sender='b').verify(form(make_signer(), ping))
         assert message.has_kind(Ping) and not message.has_kind(Pong)
         assert message.decode(Ping) == ping
 
     @given(strategies.binary(max_size=40), strategies.integers(0, 3))
-    def test_a_short_body_gives_a_message_or_one_kind_of_error(
-        self, junk, kept
-    ):
+    def test_a_short_body_gives_a_message_or_a_decode_error(self, junk, kept):
         body = msgspec.msgpack.encode([1, 'note', [2]])[:kept] + junk
         message = link.VerifiedMessage(2, 0, msgspec.Raw(body), is_short=True)
         try:
@@ -318,9 +316,9 @@
 
 class TestMixedVersions:
     async def test_a_newer_sender_is_understood(self, server):
-        """A rolling upgrade stops the old processes.
+        """Guards against a rolling upgrade that stops the old processes.
 
-        The newer ones send a later protocol version, a longer envelope
+        The newer processes send a later protocol version, a longer envelope
         and messages with fields that the older ones do not know.
         """
         body = {'number': 3, 'added': {'later': [1, 2]}}
@@ -339,26 +337,28 @@
         old = msgspec.msgpack.encode({'number': 3})
         assert msgspec.msgpack.decode(old, type=Pong).size == 0
 
-    async def test_short_where_a_reply_showed_that_it_is_read(self, server):
-        sent = server.watch()
+    async def test_short_form_is_used_once_a_reply_showed_that_it_is_read(
+        self, server
+    ):
+        sent = server.record_forms()
         for _ in range(3):
             assert (await server.ask(Ping(number=3))).number == 3
         assert sent == [False, True, True]
 
-    async def test_a_process_of_protocol_1_is_asked_and_answered(self, server):
-        """A rolling upgrade cuts the new processes off from the old.
+    async def test_a_process_of_protocol_1_is_understood(self, server):
+        """Guards against old processes that new ones cannot reach.
 
-        The old ones read the long form only, refuse the rest as wrongly
-        signed, and reply as protocol 1.  The cause would be a sender that
-        goes by its own version, or by what was at the address before.
+        Processes of protocol 1 read only the long form, refuse the short one
+        as wrongly signed, and reply as protocol 1.  A sender must not choose
+        the form by its own version, or by an earlier process at the address.
         """
-        sent = server.watch()
+        sent = server.record_forms()
         for _ in range(2):
             await server.ask(Ping(number=1))
-        server.turn_into_protocol_1()
+        server.switch_to_protocol_1()
         for _ in range(3):
             assert (await server.ask(Ping(number=3))).number == 3
-        # The one that met the old process was sent again, long.
+        # The first message to the old process was sent again, in long form.
         assert sent == [False, True, True, False, False, False]
         assert server.control.refused_count == {'wrong signature': 1}
 
