--- a/lacewingpitch/entry.py
+++ b/lacewingpitch/entry.py
@@ -1,4 +1,4 @@
-"""The process that callers reach: it applies contracts and answers."""
+"""Entry: the process that serves callers and enforces their contracts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -40,11 +40,11 @@
 _BEARER = 'Bearer '
 _MAX_MODEL_LENGTH = 256
 _MAX_TOKENS = 1 << 31
-_READY_POLL_S = 0.02
-_LAST_COPY_TIMEOUT_S = 5.0
+_READY_POLL_INTERVAL_S = 0.02
+_FINAL_COPY_TIMEOUT_S = 5.0
 _TALLY = web.RequestKey('tally', account_module.Tally)
 _ORIGIN = re.compile('^[A-Za-z][A-Za-z0-9+.-]*://[^/]*')
-_FIRST_TWO = re.compile('/[^/?#]*/[^/?#]*')
+_FIRST_TWO_SEGMENTS = re.compile('/[^/?#]*/[^/?#]*')
 log = structlog.get_logger(__name__)
 
 
@@ -55,7 +55,7 @@
 
 
 class CompletionCall(msgspec.Struct, frozen=True):
-    """What the entry must know of a completion's JSON."""
+    """The fields of a completion's JSON that the entry uses."""
 
     model: Annotated[str, msgspec.Meta(max_length=_MAX_MODEL_LENGTH)]
     stream: bool | None = None
@@ -65,7 +65,7 @@
 
 
 class Entry:
-    """Takes callers' requests, and delivers each answer whole.
+    """Accepts callers' requests, has sidecars run them and sends the answers.
 
     Parameters
     ----------
@@ -99,26 +99,26 @@
 
     @property
     def work_port(self) -> int:
-        """Return the port that callers reach."""
+        """Return the port for callers."""
         return self._server.port
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         return {
             'work_port': self.work_port,
             'control_port': self._node.control.port,
         }
 
     async def start(self) -> None:
-        """Follow the platform, then take requests."""
+        """Follow the instance list and contracts, then accept requests."""
         await self._exits.enter_async_context(self._node)
-        places = placement.Placement(
+        instance_selector = placement.Placement(
             self._node.clock,
             self.settings.objective,
             directory.ControlDirectoryLink(self._node.peers),
         )
         self._node.membership.changes.subscribe(
-            lambda published: places.retain(published.instances)
+            lambda published: instance_selector.retain(published.instances)
         )
         ejector = ejection.Ejector(self._node.clock, random.Random())
         link = sidecar_link.SidecarLink(
@@ -126,12 +126,12 @@
             self._node.signer,
             self._node.peers,
             self._node.membership,
-            places,
+            instance_selector,
             ejector,
             self._node.contract_gossip.catch_up,
         )
         self._dispatcher = dispatch.Dispatcher(
-            link, self._node.membership, places, ejector
+            link, self._node.membership, instance_selector, ejector
         )
         self._start_account()
         self._limits = await self._exits.enter_async_context(
@@ -149,13 +149,13 @@
             len(self._node.contract_registry)
             and self._node.membership.has_sidecars
         )
-        settled = self._node.contract_gossip.is_settled
-        return bool(known) and settled and not self._draining
+        is_settled = self._node.contract_gossip.is_settled
+        return bool(known) and is_settled and not self._draining
 
     async def ready(self) -> None:
         """Wait until contracts and backend servers are known."""
         while not self.is_ready:
-            await asyncio.sleep(_READY_POLL_S)
+            await asyncio.sleep(_READY_POLL_INTERVAL_S)
 
     async def close(self) -> None:
         """Drain, then release everything."""
@@ -171,7 +171,7 @@
         control.handle(account_copy.AccountCopy, holder.take)
         control.handle(account_query.AccountRequest, reader.answer)
         copier.start()
-        self._exits.push_async_callback(copier.close, _LAST_COPY_TIMEOUT_S)
+        self._exits.push_async_callback(copier.close, _FINAL_COPY_TIMEOUT_S)
         reports = report_server.ReportServer(
             report_module.Reporter(self._node, reader),
             self._node.contract_registry,
@@ -195,12 +195,12 @@
         server.route('GET', '/readyz', self._ready)
 
     async def _completion(self, request: web.Request) -> web.StreamResponse:
-        return await self._answered(request, self._complete)
+        return await self._handle(request, self._complete)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
-        return await self._answered(request, self._call_service)
+        return await self._handle(request, self._call_service)
 
-    async def _answered(
+    async def _handle(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         request_id = str(uuid_utils.uuid7())
@@ -208,8 +208,10 @@
         with self._account.counted(request_id) as tally:
             request[_TALLY] = tally
             try:
-                self._check_open()
-                response = await self._apply(request, handler, request_id)
+                self._check_accepting()
+                response = await self._authenticate_and_handle(
+                    request, handler, request_id
+                )
             except errors.RefusalError as error:
                 tally.refused(error)
                 response = response_format.refusal_response(error, request_id)
@@ -217,7 +219,7 @@
             tally.delivered()
         return response
 
-    async def _apply(
+    async def _authenticate_and_handle(
         self, request: web.Request, handler: Handler, request_id: str
     ) -> web.StreamResponse:
         contract = self._authenticate(request)
@@ -227,13 +229,13 @@
         except errors.RefusalError as error:
             if error.kind is not errors.ErrorKind.CONTRACT_OUTDATED:
                 raise
-        # A sidecar refused before the work ran, as it knows a newer
-        # contract, and that one is here now.  It is applied from the
-        # start, since it may refuse what the old one allowed.
+        # A sidecar refused the request before it ran, since the sidecar knows
+        # a newer contract, which has arrived here meanwhile.  The request is
+        # handled again from the start, as the new contract may forbid it.
         contract = self._authenticate(request)
         return await handler(request, contract, str(uuid_utils.uuid7()))
 
-    def _check_open(self) -> None:
+    def _check_accepting(self) -> None:
         if self._draining:
             raise errors.RefusalError(
                 errors.ErrorKind.DRAINING, 'this entry instance is leaving'
@@ -321,15 +323,15 @@
         order: work.WorkOrder,
         body: bytes,
     ) -> web.StreamResponse:
-        async with contextlib.AsyncExitStack() as held:
-            admitted = await held.enter_async_context(
+        async with contextlib.AsyncExitStack() as exits:
+            admitted = await exits.enter_async_context(
                 self._limits.admit(contract, order.max_tokens)
             )
             if order.adapter is None:
                 admitted.used_tokens = 0.0
-            return await self._run(request, order, body, admitted)
+            return await self._dispatch(request, order, body, admitted)
 
-    async def _run(
+    async def _dispatch(
         self,
         request: web.Request,
         order: work.WorkOrder,
@@ -379,16 +381,16 @@
 
 
 def _service_path(raw_path: str) -> str:
-    """Return what follows ``/services/NAME`` of a path, as it came."""
-    # Both words may be written with escapes, and the target may be a
-    # whole URL, so they are found by their place and not by their text.
+    """Return what follows ``/services/NAME`` in a path, still escaped."""
+    # The first two segments may contain escapes, and the target may be a
+    # whole URL, so they are removed by position and not by text.
     path = _ORIGIN.sub('', raw_path)
-    found = _FIRST_TWO.match(path)
-    rest = path[found.end() :] if found else ''
+    match = _FIRST_TWO_SEGMENTS.match(path)
+    rest = path[match.end() :] if match else ''
     return rest if rest.startswith('/') else f'/{rest}'
 
 
-def _read_key(request: web.Request) -> str:
+def _read_idempotency_key(request: web.Request) -> str:
     keys = request.headers.getall('Idempotency-Key', [])
     if not keys:
         return ''
@@ -411,7 +413,7 @@
     stream: bool = False,
     max_tokens: int = 0,
 ) -> work.WorkOrder:
-    key = _read_key(request)
+    key = _read_idempotency_key(request)
     return work.WorkOrder(
         request_id=request_id,
         attempt=0,
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside a backend server, and the only one to send it work."""
+"""Sidecar: the process beside a backend server that sends it all its work."""
 
 import asyncio
 import collections
@@ -25,7 +25,7 @@
 from lacewingpitch import work
 
 MAX_BODY_BYTES = 8 << 20
-_LAST_WORDS_S = 0.2
+_LINGER_S = 0.2
 log = structlog.get_logger(__name__)
 
 Handler = Callable[
@@ -35,7 +35,7 @@
 
 
 class Sidecar:
-    """Runs requests on one backend server.
+    """Accepts orders from entries and runs them on one backend server.
 
     Parameters
     ----------
@@ -63,31 +63,31 @@
             collections.Counter()
         )
         self._started = False
-        self._last_taken_s = 0.0
+        self._last_order_at_s = 0.0
         self._attempts = attempts.Attempts(settings, self._node)
 
     @property
     def work_port(self) -> int:
-        """Return the port that takes requests."""
+        """Return the port for orders of entries."""
         return self._server.port
 
     @property
     def control_port(self) -> int:
-        """Return the port that takes control messages."""
+        """Return the port for control messages."""
         return self._node.control.port
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it takes no new work, by a signal or by the list."""
-        # An entry that was paused, or whose list lags, still sends work
-        # to a backend server that leaves.  The sidecar watches the list
-        # for its own name, and refuses whatever the entry believes.
+        """Whether new work is refused, after a signal or by the list."""
+        # An entry that was paused, or whose list lags behind, still sends
+        # work to a backend server that is leaving.  The sidecar therefore
+        # watches the list for its own name and refuses new work itself.
         return self._draining or self._node.membership.is_leaving(
             self.settings.instance
         )
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         return {
             'work_port': self.work_port,
             'control_port': self.control_port,
@@ -95,21 +95,22 @@
 
     @property
     def refused_count(self) -> collections.Counter[str]:
-        """Return how many messages and orders were refused, by reason."""
+        """Return the number of refused messages and orders, by reason."""
         return self._node.control.refused_count
 
     async def start(self) -> None:
-        """Take the port, then the backend server, then requests."""
-        # Two sidecars of one engine that ignores fencing numbers would
-        # mix their orders: one evicts what the other's request runs on.
-        # The port is bound exclusively, also by a frozen process, and
-        # freed by the kernel at its death; no order precedes it.
-        self._server.route_tracked('POST', '/run', self._take)
-        self._server.route_tracked('POST', '/resume', self._take_up)
+        """Bind the port, attach to the backend server, then accept orders."""
+        # Two sidecars of one engine that ignores fencing tokens would
+        # interfere: one evicts the adapter on which the other's request
+        # runs.  So a sidecar sends no order to its engine before it has
+        # bound the work port.  The port is exclusive: a frozen process keeps
+        # it, and the kernel frees it when the process ends.
+        self._server.route_tracked('POST', '/run', self._handle_run)
+        self._server.route_tracked('POST', '/resume', self._handle_resume)
         self._server.route('GET', '/healthz', self._health)
         self._server.route('GET', '/readyz', self._ready)
         self._add_metrics()
-        self._server.add_response_hook(self._mark_leaving)
+        self._server.add_response_hook(self._add_leaving_header)
         await self._server.start_when_port_free(
             self.settings.ip, self.settings.work_port
         )
@@ -163,29 +164,31 @@
         self._server.route('GET', '/metrics', metrics.answer)
 
     async def _drain(self) -> None:
-        # A run whose connection broke may still be taken up again, and
-        # one that is not repeatable has to end: it has no handler that
-        # the server could wait for.
+        # Waiting for HTTP handlers is not enough.  A run whose connection
+        # broke has none, but its entry may still resume it, and one that is
+        # not repeatable must be finished.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.drain_s):
-                await self._idle()
-                # Entry instances that do not know yet are still told
-                # "not run", and ask about what they sent before.
-                until_s = self._last_taken_s + _LAST_WORDS_S
-                await asyncio.sleep(until_s - self._node.clock.monotonic_s())
-                await self._idle()
+                await self._wait_idle()
+                # Entries that do not know yet that it is leaving still get
+                # "not run" for new orders, and may query earlier attempts.
+                linger_until_s = self._last_order_at_s + _LINGER_S
+                await asyncio.sleep(
+                    linger_until_s - self._node.clock.monotonic_s()
+                )
+                await self._wait_idle()
 
-    async def _idle(self) -> None:
+    async def _wait_idle(self) -> None:
         await self._server.drain(self.settings.drain_s)
         await self._attempts.wait_idle()
 
-    async def _take(self, request: web.Request) -> web.StreamResponse:
-        return await self._answered(request, self._admit_and_run)
+    async def _handle_run(self, request: web.Request) -> web.StreamResponse:
+        return await self._handle_order(request, self._admit_and_run)
 
-    async def _take_up(self, request: web.Request) -> web.StreamResponse:
-        return await self._answered(request, self._attempts.resume)
+    async def _handle_resume(self, request: web.Request) -> web.StreamResponse:
+        return await self._handle_order(request, self._attempts.resume)
 
-    async def _answered(
+    async def _handle_order(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         try:
@@ -195,19 +198,19 @@
         except errors.RefusalError as error:
             self._node.control.refused_count['foreign order'] += 1
             return response_format.refusal_response(error, '')
-        self._last_taken_s = self._node.clock.monotonic_s()
+        self._last_order_at_s = self._node.clock.monotonic_s()
         attempt_id = voiding.attempt_id(order.request_id, order.attempt)
         headers = {work.ATTEMPT_HEADER: attempt_id}
         delivery = runs.Delivery(request, headers)
         try:
             self._check_started()
-            found = await handler(order, delivery)
+            answer = await handler(order, delivery)
         except errors.RefusalError as error:
-            return self._refused(error, order, delivery)
-        if found is None:
+            return self._refusal_response(error, order, delivery)
+        if answer is None:
             assert delivery.response is not None
             return delivery.response
-        response = found.response()
+        response = answer.response()
         response.headers.update(delivery.headers)
         return response
 
@@ -224,20 +227,20 @@
             )
 
     def _check_started(self) -> None:
-        # The port is held, and so reached, before the rest is there.
+        # The port is open before the sidecar can run requests.
         if not self._started:
             raise errors.RefusalError(
                 errors.ErrorKind.QUEUE_FULL, 'this sidecar is starting'
             )
 
-    def _refused(
+    def _refusal_response(
         self,
         error: errors.RefusalError,
         order: work.WorkOrder,
         delivery: runs.Delivery,
     ) -> web.StreamResponse:
         log.info(
-            'refused',
+            'order refused',
             request_id=order.request_id,
             customer=order.customer,
             kind=error.kind,
@@ -245,13 +248,13 @@
         self._error_count_by_kind[error.kind.value] += 1
         if delivery.response is None:
             return response_format.refusal_response(error, order.request_id)
-        # The head of an answer is out already: a second head behind it
-        # would be read as a piece of the answer.  A connection that is
-        # torn down tells the peer that the answer is not whole.
+        # The headers of an answer have been sent: a second response would
+        # be read as a part of its body.  Closing the connection shows the
+        # peer that the answer is incomplete.
         delivery.tear()
         return delivery.response
 
-    async def _mark_leaving(
+    async def _add_leaving_header(
         self, _request: web.Request, response: web.StreamResponse
     ) -> None:
         if self._draining:
