--- a/lacewingpitch/daemon.py
+++ b/lacewingpitch/daemon.py
@@ -1,4 +1,4 @@
-"""Running a daemon until a signal asks it to end."""
+"""Lifecycle of daemons: signals, background tasks, graceful shutdown."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -10,8 +10,8 @@
 import structlog
 import uvloop
 
-# A fault that shows at once would otherwise keep the processor busy.
-_RESTART_AFTER_S = 0.5
+# Keeps a task that fails at once from using all processor time.
+_RESTART_DELAY_S = 0.5
 log = structlog.get_logger(__name__)
 
 
@@ -19,20 +19,20 @@
     """A long-running process of the system."""
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Start serving."""
         ...
 
     async def close(self) -> None:
-        """End gracefully."""
+        """Finish the work in progress and stop."""
         ...
 
     def ports(self) -> dict[str, int]:
-        """Return the ports it listens on, by name."""
+        """Return the ports that it listens on, by name."""
         ...
 
 
 class BackgroundTasks:
-    """What a daemon keeps open, and its tasks that go on for ever."""
+    """The resources and background tasks of a daemon."""
 
     def __init__(self) -> None:
         self.exits = contextlib.AsyncExitStack()
@@ -40,7 +40,7 @@
     def run(
         self, name: str, work: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        """Run a task until the exits are left."""
+        """Run a supervised task until `exits` is closed."""
         task = asyncio.create_task(run_supervised(name, work))
         self.exits.callback(task.cancel)
 
@@ -48,11 +48,11 @@
 async def run_supervised(
     name: str, work: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Run a task that is to go on for ever; begin it anew if it fails.
+    """Run a long-running task; log its failures and restart it.
 
-    The loop keeps quiet about a task that has failed.  The process would
-    look well and go on with what it last believed: no error shows it but
-    that of callers.
+    The event loop does not report a failed task.  The process would seem to
+    work but continue with outdated state, and only its callers would see
+    errors.
     """
     while True:
         try:
@@ -60,21 +60,21 @@
             return
         except Exception:
             log.exception('task failed', task=name)
-            await asyncio.sleep(_RESTART_AFTER_S)
+            await asyncio.sleep(_RESTART_DELAY_S)
 
 
 def serve(daemon: Daemon, reload: Callable[[], None] | None = None) -> None:
-    """Run a daemon until SIGTERM or SIGINT, and let it end gracefully.
+    """Run a daemon until SIGTERM or SIGINT, then shut it down gracefully.
 
     Parameters
     ----------
     reload
-        Called at SIGHUP; without it that signal ends the process.
+        Called on SIGHUP; without it, SIGHUP terminates the process.
 
     Raises
     ------
     ClickException
-        It cannot listen.
+        The daemon cannot listen on its address.
     """
     try:
         uvloop.run(_serve_until_signal(daemon, reload))
--- a/lacewingpitch/errors.py
+++ b/lacewingpitch/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""The closed list of error kinds, and how each kind is answered."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about the work of a request.
+    """What is known about whether a request ran.
 
     ``NOT_RUN`` is a promise: the request did not run and will not run.
     """
@@ -18,7 +18,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Every kind of error that a caller can meet."""
+    """Every kind of error that a caller can receive."""
 
     BAD_REQUEST = 'bad-request'
     NOT_FOUND = 'not-found'
@@ -60,11 +60,11 @@
     status
         HTTP status code.
     outcome
-        What the caller may conclude about the work.
+        What the caller may conclude about the request.
     retry_after_s
-        When to come back, in seconds; ``None`` where it does not help.
+        When to retry, in seconds; ``None`` if a retry does not help.
     retry_elsewhere
-        Whether another backend server may take the request at once.
+        Whether the request may be sent to another backend server at once.
     """
 
     status: int
@@ -109,38 +109,39 @@
 
 
 class LacewingpitchError(Exception):
-    """Root of every error that this package raises."""
+    """Base class of the errors that this package raises."""
 
 
 class SettingsError(LacewingpitchError):
-    """Settings or contracts that cannot be accepted."""
+    """Settings or contracts are invalid."""
 
 
 class LinkError(LacewingpitchError):
-    """A peer did not answer, or its answer cannot be used."""
+    """A peer did not reply, or its reply is invalid."""
 
 
 class NoReplyError(LinkError):
-    """A peer did not answer at all."""
+    """A peer did not reply at all."""
 
 
 class PlatformError(LacewingpitchError):
-    """The platform refused a call or did not answer."""
+    """The platform refused a call, or its answer is missing or invalid."""
 
 
 class RefusalError(LacewingpitchError):
-    """A request that ends without a whole answer.
+    """A request ends without a whole answer.
 
     Parameters
     ----------
     kind
-        Entry in the closed list.
+        Kind of the closed list.
     detail
-        A sentence for the caller; it never holds another's data.
+        Text for the caller; it never contains another caller's data.
     retry_after_s
-        When to come back; the table's value where ``None``.
+        When to retry, in seconds; ``None`` for the value of
+        `ANSWER_RULES`.
     outcome
-        Overrides the table where more, or less, is known.
+        Overrides the outcome of `ANSWER_RULES` if more, or less, is known.
     """
 
     def __init__(
@@ -163,7 +164,7 @@
 
     @property
     def retry_elsewhere(self) -> bool:
-        """Whether another backend server may take the request at once."""
+        """Whether the request may be sent elsewhere at once."""
         return (
             self.outcome is Outcome.NOT_RUN
             and ANSWER_RULES[self.kind].retry_elsewhere
--- a/lacewingpitch/http_guard.py
+++ b/lacewingpitch/http_guard.py
@@ -1,4 +1,4 @@
-"""What guards an HTTP server against odd, slow and vanished callers."""
+"""Protection of HTTP servers against malformed, slow and lost requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,9 +13,9 @@
 from lacewingpitch import response_format
 
 _REQUEST_ID = 'request_id'
-_FINISHED = web.RequestKey('finished', bool)
+_IS_FINISHED = web.RequestKey('finished', bool)
 MAX_FIELD_BYTES = 8190
-# An order carries a path of up to a whole field, in base64.
+# An order contains a path of up to `MAX_FIELD_BYTES`, in base64.
 MAX_ORDER_FIELD_BYTES = 32 << 10
 KEEPALIVE_S = 75.0
 _HTTP_TOO_LARGE = 413
@@ -23,8 +23,8 @@
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 log = structlog.get_logger(__name__)
 
-# The library logs what it cannot parse as it came, API keys included.
-# What matters of it is answered and logged here instead.
+# aiohttp logs requests that it cannot parse as received, API keys included.
+# Errors are answered and logged by `error_middleware` instead.
 DISABLED_LOGGER = logging.getLogger(f'{__name__}.silent')
 DISABLED_LOGGER.disabled = True
 
@@ -35,14 +35,14 @@
 async def error_middleware(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Answer every error by one kind of the closed list."""
+    """Answer every error with a kind of the closed list of errors."""
     try:
-        _check_text(request)
+        _check_utf8(request)
         return await handler(request)
     except errors.RefusalError as error:
         refusal = error
     except web.HTTPException as error:
-        refusal = _refusal_of(error)
+        refusal = _refusal_from(error)
     except (asyncio.CancelledError, ConnectionError):
         raise
     except Exception:
@@ -50,24 +50,25 @@
         refusal = errors.RefusalError(
             errors.ErrorKind.INTERNAL, 'a fault of the server'
         )
-    # Once the head of an answer is out, a second answer would be read as
-    # the rest of the first, or as that of the caller's next request.
+    # Once the headers of an answer have been sent, a second answer would be
+    # read as the rest of the first one, or as the answer to the caller's next
+    # request.
     if request.writer.output_size > 0:
         raise ConnectionError('the answer broke off')
     return response_format.refusal_response(refusal, _request_id())
 
 
 async def handle_expect(request: web.Request) -> web.StreamResponse | None:
-    """Answer the header ``Expect`` before the body is read."""
-    # The library's own handler quotes an unknown value, outside of every
-    # middleware, and fails at one that is no text.
+    """Handle the header ``Expect`` before the body is read."""
+    # aiohttp's own handler runs outside of every middleware.  It includes an
+    # unknown value in its answer and fails on one that is not valid text.
     if request.headers.get('Expect', '').lower() != _EXPECTED:
         refusal = errors.RefusalError(
             errors.ErrorKind.BAD_REQUEST, f'only {_EXPECTED} may be expected'
         )
         return response_format.refusal_response(refusal, _request_id())
     await request.writer.write(_CONTINUE)
-    # This was no part of the answer, which has still to begin.
+    # The interim response does not count as a part of the answer.
     request.writer.output_size = 0
     return None
 
@@ -78,17 +79,17 @@
     Raises
     ------
     RefusalError
-        The body is too large, or did not come within `timeout_s`.
+        The body is too large, malformed, or incomplete after `timeout_s`.
     """
-    # A caller that sends a byte now and then would hold a place among
-    # the requests in progress for as long as it likes.
+    # Without the timeout, a caller that sends its body very slowly would
+    # count among the requests in progress indefinitely.
     try:
         async with asyncio.timeout(timeout_s):
             return await request.read()
     except TimeoutError as error:
         raise errors.RefusalError(
             errors.ErrorKind.BODY_TOO_SLOW,
-            f'the body did not come within {timeout_s:g} s',
+            f'the body was not complete within {timeout_s:g} s',
         ) from error
     except web.HTTPRequestEntityTooLarge as error:
         raise errors.RefusalError(
@@ -101,17 +102,18 @@
 
 
 def bind_request_id(request_id: str) -> None:
-    """Let the answer and every log line of a request say its id."""
+    """Add the id of a request to its refusals and to all its log lines."""
     structlog.contextvars.bind_contextvars(**{_REQUEST_ID: request_id})
 
 
 def set_stall_timeout(request: web.BaseRequest, stall_s: float) -> None:
-    """Let the kernel end the connection when the other end stalls.
+    """Have the kernel reset the connection when the peer stalls.
 
-    A caller that stops to read, or vanishes without a word, holds its
-    request, its adapter's slot and the answer so far, since writing
-    waits for it.  After `stall_s` without any byte taken, the connection
-    is reset, and the handler is cancelled as for a caller that hung up.
+    Writing waits for a caller that stops reading or disappears without
+    closing the connection.  Meanwhile its request occupies an adapter slot
+    and the memory of the answer so far.  If the peer acknowledges no data
+    for `stall_s`, the kernel resets the connection, and the handler is
+    cancelled as if the caller had closed it.
     """
     transport = request.transport
     found = transport and transport.get_extra_info('socket')
@@ -124,26 +126,26 @@
 async def finish_response(
     request: web.Request, response: web.StreamResponse
 ) -> None:
-    """Write an answer to its end; return once the connection took it.
+    """Send a whole answer; return once all of it is in the kernel's buffer.
 
     Raises
     ------
     ConnectionError
-        The caller vanished before.
+        The connection ended before that.
     """
-    if _FINISHED in request:
+    if _IS_FINISHED in request:
         return
-    # The library writes a whole answer after the handler has returned,
+    # aiohttp itself would write the answer after the handler has returned,
     # when a drain no longer waits for it and would cut it off.
     await response.prepare(request)
     transport = request.transport
     if transport is None:
         raise ConnectionResetError('the caller is gone')
-    # A write only puts bytes into this process's buffer.  A caller that
-    # vanishes then has no whole answer, though the last write succeeded:
-    # the account would claim it as served.  With a buffer limit of 0 the
-    # drain returns only when the buffer is empty.  A caller that does not
-    # read is ended by `set_stall_timeout`.
+    # A write only fills the buffer of this process.  If the caller then
+    # disappears, it has no whole answer although the last write succeeded,
+    # and the account must not count it as served.  With a buffer limit of 0,
+    # the drain returns only when the buffer is empty.  The timeout of
+    # `set_stall_timeout` ends the wait for a caller that does not read.
     writer = request.writer
     try:
         await response.write_eof()
@@ -153,23 +155,24 @@
         transport.set_write_buffer_limits()
     if request.transport is None or transport.is_closing():
         raise ConnectionResetError('the caller is gone')
-    request[_FINISHED] = True
+    request[_IS_FINISHED] = True
 
 
-def _check_text(request: web.Request) -> None:
-    # Bytes that are no text come as lone surrogates, which no codec
-    # takes: the error would rise far from here, as a fault of ours.
-    texts = [request.raw_path, *request.headers.values()]
+def _check_utf8(request: web.Request) -> None:
+    # aiohttp decodes invalid bytes to lone surrogates, which cannot be
+    # encoded.  Unchecked, they would raise an error far from here, which
+    # would be answered as an internal one.
+    values = [request.raw_path, *request.headers.values()]
     try:
-        for text in texts:
-            text.encode()
+        for value in values:
+            value.encode()
     except UnicodeEncodeError as error:
         raise errors.RefusalError(
             errors.ErrorKind.BAD_REQUEST, 'a header or path is not UTF-8'
         ) from error
 
 
-def _refusal_of(error: web.HTTPException) -> errors.RefusalError:
+def _refusal_from(error: web.HTTPException) -> errors.RefusalError:
     if error.status in (404, 405):
         return errors.RefusalError(
             errors.ErrorKind.NOT_FOUND, 'no such method and path'
--- a/lacewingpitch/http_server.py
+++ b/lacewingpitch/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server that knows its work in progress and can drain."""
+"""HTTP server that tracks requests in progress and can drain them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator
@@ -13,22 +13,33 @@
 
 Handler = http_guard.Handler
 ResponseHook = Callable[[web.Request, web.StreamResponse], Awaitable[None]]
-_SHUTDOWN_S = 1.0
+_SHUTDOWN_TIMEOUT_S = 1.0
 _FIRST_BIND_DELAY_S = 0.05
 _MAX_BIND_DELAY_S = 1.0
 log = structlog.get_logger(__name__)
-_STALL_S = 60.0
+_STALL_TIMEOUT_S = 60.0
 
 
 class HttpServer:
-    """Routes requests to handlers and counts those in progress."""
+    """Routes requests to handlers and counts those in progress.
+
+    Parameters
+    ----------
+    max_body_bytes
+        Larger request bodies are refused.
+    max_field_bytes
+        Maximum size of a header field.
+    stall_s
+        Resets the connection of a tracked request if the peer acknowledges
+        no data for this time.
+    """
 
     def __init__(
         self,
         max_body_bytes: int,
         *,
         max_field_bytes: int = http_guard.MAX_FIELD_BYTES,
-        stall_s: float = _STALL_S,
+        stall_s: float = _STALL_TIMEOUT_S,
     ) -> None:
         self._app = web.Application(
             client_max_size=max_body_bytes,
@@ -43,40 +54,40 @@
         self.port = 0
 
     def route(self, method: str, path: str, handler: Handler) -> None:
-        """Answer `method` at `path` by `handler`."""
+        """Register the handler of `method` at `path`."""
         self._app.router.add_route(
             method, path, handler, expect_handler=http_guard.handle_expect
         )
 
     def route_tracked(self, method: str, path: str, handler: Handler) -> None:
-        """Like `route`, for requests that a drain waits for."""
+        """Like `route`, for requests that `drain` waits for."""
 
-        async def counted(request: web.Request) -> web.StreamResponse:
-            with self._counted():
+        async def tracked(request: web.Request) -> web.StreamResponse:
+            with self._track():
                 http_guard.set_stall_timeout(request, self._stall_s)
                 response = await handler(request)
                 await http_guard.finish_response(request, response)
                 return response
 
-        self.route(method, path, counted)
+        self.route(method, path, tracked)
 
-    def add_response_hook(self, mark: ResponseHook) -> None:
-        """Call `mark` on every answer before its head is sent."""
-        self._app.on_response_prepare.append(mark)
+    def add_response_hook(self, hook: ResponseHook) -> None:
+        """Call `hook` on every response before its headers are sent."""
+        self._app.on_response_prepare.append(hook)
 
     async def start(self, ip: str, port: int) -> None:
-        """Bind `ip` and `port` exclusively; port 0 takes a free one.
+        """Bind `ip` and `port` exclusively; port 0 selects a free port.
 
         Raises
         ------
         OSError
-            Another process holds the port.
+            The address cannot be bound, e.g. as the port is in use.
         """
         runner = await self._set_up()
         await self._listen(runner, ip, port)
 
     async def start_when_port_free(self, ip: str, port: int) -> None:
-        """Like `start`, but wait until no other process holds the port."""
+        """Like `start`, but wait while another process uses the port."""
         runner = await self._set_up()
         delay_s = _FIRST_BIND_DELAY_S
         while True:
@@ -96,7 +107,7 @@
             self._app,
             handler_cancellation=True,
             access_log=None,
-            shutdown_timeout=_SHUTDOWN_S,
+            shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
             logger=http_guard.DISABLED_LOGGER,
             keepalive_timeout=http_guard.KEEPALIVE_S,
             max_line_size=http_guard.MAX_FIELD_BYTES,
@@ -122,7 +133,7 @@
         self.port = runner.addresses[0][1]
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait until nothing is in progress; return whether it is so."""
+        """Wait until no request is in progress; ``False`` on timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._idle.wait()
@@ -131,11 +142,11 @@
         return True
 
     async def close(self) -> None:
-        """Stop listening and end what is in progress."""
+        """Stop listening, and end the requests in progress."""
         await self._exits.aclose()
 
     @contextlib.contextmanager
-    def _counted(self) -> Iterator[None]:
+    def _track(self) -> Iterator[None]:
         self.in_progress += 1
         self._idle.clear()
         try:
--- a/lacewingpitch/node.py
+++ b/lacewingpitch/node.py
@@ -1,4 +1,4 @@
-"""What every process of the system has: links, peers, a view of others."""
+"""Node: the links, instance list and contracts that every process has."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -20,17 +20,18 @@
 from lacewingpitch import published_contracts
 from lacewingpitch import settings as settings_module
 
-_SIDECAR_CONTRACTS = 1024
-_WATCH_CHECK_S = 1.0
+_SIDECAR_CONTRACT_COUNT = 1024
+_WATCH_CHECK_INTERVAL_S = 1.0
 log = structlog.get_logger(__name__)
-_LONGEST_WATCH_S = 30.0
+_MAX_WATCH_S = 30.0
 
 
 class Node:
-    """One process among the others of its deployment.
+    """One process of a deployment, connected to the others.
 
-    It owns the HTTP session, the control server and the links to peers,
-    follows the published list and contracts, and closes it all.
+    It owns the HTTP session, the control server and the links to peers, and
+    follows the published instance list and contracts.  As a context manager
+    it closes them all.
 
     Parameters
     ----------
@@ -54,10 +55,10 @@
         self.control = link.ControlServer(self.signer)
         self.peers = link.PeerPool(self.signer)
         self.membership = membership.Membership(clock, settings.deployment)
-        # A sidecar decides by revision alone; of the contracts it keeps
-        # those that changed last, for entries that missed the change.
+        # A sidecar only compares revisions.  It keeps the contracts that
+        # changed last for entries that missed a change.
         self.contract_registry = contract_registry.ContractRegistry(
-            _SIDECAR_CONTRACTS
+            _SIDECAR_CONTRACT_COUNT
             if isinstance(settings, settings_module.SidecarSettings)
             else None
         )
@@ -72,7 +73,7 @@
         self._exits = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        """Open the session and the links."""
+        """Open the session and listen for control messages."""
         async with contextlib.AsyncExitStack() as exits:
             self.session = await exits.enter_async_context(
                 aiohttp.ClientSession(
@@ -93,26 +94,26 @@
         try:
             await self.control.start(ip, port)
         except pynng.NNGException as error:
-            # An address of another machine, or a port that is taken, would
-            # end in a trace that names neither: pynng's errors are not
-            # those of the system, for which the command line has a line.
+            # The command line reports an OSError in one line.  The errors of
+            # pynng are none and name neither port nor address, which may be
+            # in use or belong to another machine.
             raise OSError(f'control port {port} of {ip}: {error}') from error
 
     async def __aexit__(self, *exception: object) -> None:
-        """Close everything, in the opposite order."""
+        """Close everything, in reverse order."""
         await self._exits.aclose()
 
     def follow_platform(self) -> None:
-        """Follow the published list and contracts from now on."""
+        """Start to follow the published instance list and contracts."""
         instances = live_list.HttpLiveList(
             self.session, self.settings.live_list.url
         )
         service = config_service.HttpConfigService(
             self.session, self.settings.config_service.url
         )
-        # A list is known to be current as often as a watch ends, which
-        # must be well within the time after which it counts as stale.
-        watch_s = min(_LONGEST_WATCH_S, self.settings.list_lag_s / 3)
+        # Each watch that ends confirms that the list is current.  That must
+        # happen well within the time after which a list counts as stale.
+        watch_s = min(_MAX_WATCH_S, self.settings.list_lag_s / 3)
         self.run(self.membership.follow(instances, watch_s))
         if self.contract_registry.holds_all:
             published = published_contracts.PublishedContracts(
@@ -125,8 +126,8 @@
     async def _follow_contracts(
         self, published: published_contracts.PublishedContracts
     ) -> None:
-        # What the service holds is read first, so that peers need to send
-        # only what it lacks.
+        # Reading from the service first leaves to the peers only contracts
+        # that the service lacks.
         try:
             await published.read_once()
         except errors.PlatformError as error:
@@ -138,9 +139,9 @@
                 await published.poll()
                 self.contract_gossip.record_read(published.read_at_s)
             else:
-                await asyncio.sleep(_WATCH_CHECK_S)
+                await asyncio.sleep(_WATCH_CHECK_INTERVAL_S)
 
     def run(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a task for as long as this process works."""
+        """Run a task until the node is closed."""
         task = asyncio.create_task(work)
         self._exits.callback(task.cancel)
--- a/lacewingpitch/plain_service.py
+++ b/lacewingpitch/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service beside a sidecar: any call, passed through."""
+"""HTTP client of a plain service, a backend server that is no engine."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -11,13 +11,13 @@
 from lacewingpitch import platform_call
 
 _CONNECT_TIMEOUT_S = 2.0
-_SILENCE_TIMEOUT_S = 60.0
+_READ_TIMEOUT_S = 60.0
 _NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """One call as it is passed on to the service."""
+    """One call to forward to the service."""
 
     run_id: str
     method: str
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """The head of a service's answer and its body as it comes."""
+    """Status and headers of a service's answer, and its body as a stream."""
 
     status: int
     content_type: str
@@ -37,17 +37,17 @@
 
 
 class PlainService(Protocol):
-    """What a sidecar needs of its plain service."""
+    """A plain service, as a sidecar uses it."""
 
     def run(
         self, call: ServiceCall
     ) -> contextlib.AbstractAsyncContextManager[ServiceAnswer]:
-        """Pass a call on."""
+        """Forward a call and yield the answer."""
         ...
 
 
 class HttpPlainService:
-    """A plain service over HTTP."""
+    """Forwards calls to a plain service over HTTP."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
@@ -55,19 +55,19 @@
 
     @contextlib.asynccontextmanager
     async def run(self, call: ServiceCall) -> AsyncIterator[ServiceAnswer]:
-        """Pass a call on.
+        """Forward a call and yield the answer.
 
         Raises
         ------
         engine.NotSentError
-            The call did not run.
+            The call was not sent, so it did not run.
         PlatformError
             The service broke off; the call may have run.
         """
         timeout = aiohttp.ClientTimeout(
             total=None,
             sock_connect=_CONNECT_TIMEOUT_S,
-            sock_read=_SILENCE_TIMEOUT_S,
+            sock_read=_READ_TIMEOUT_S,
         )
         headers = {
             'X-Request-Id': call.run_id,
@@ -100,10 +100,10 @@
 async def _send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    # The library sends a PUT, DELETE or GET again by itself when the
-    # connection drops before the answer: a call that the contract marks
-    # as not repeatable would run twice.  It does so for these two types
-    # of error, so they leave here as another one.
+    # aiohttp retries a PUT, DELETE or GET itself if the connection is closed
+    # before the answer, so a call that the contract marks as not repeatable
+    # could run twice.  It does so for these two exception types, which are
+    # therefore replaced by another one.
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
--- a/lacewingpitch/service_runner.py
+++ b/lacewingpitch/service_runner.py
@@ -1,4 +1,8 @@
-"""How a sidecar passes calls through to a plain service."""
+"""Runner of a sidecar for a plain service: forwards calls to it.
+
+A plain service is a backend server that is no model engine: it has no adapters
+and accepts any HTTP call.
+"""
 
 import contextlib
 from types import TracebackType
@@ -16,13 +20,13 @@
 
 
 class ServiceRunner:
-    """Passes calls through to a plain service."""
+    """Forwards calls to a plain service."""
 
     def __init__(self, service: plain_service.PlainService) -> None:
         self._service = service
 
     async def __aenter__(self) -> Self:
-        """Attach; a plain service needs nothing."""
+        """Attach; a plain service needs no preparation."""
         return self
 
     async def __aexit__(
@@ -36,26 +40,26 @@
     def ready(
         self, order: work.WorkOrder
     ) -> contextlib.AbstractAsyncContextManager[None]:
-        """Hold nothing."""
+        """Return at once; a call needs no adapter."""
         return contextlib.nullcontext()
 
     def holds(self, order: work.WorkOrder) -> bool:
-        """Return that nothing is missing."""
+        """Return ``True``; a call needs no adapter."""
         return True
 
     def expected_wait_s(self, order: work.WorkOrder) -> float:
-        """Return that nothing is waited for."""
+        """Return 0; a call needs no adapter."""
         return 0.0
 
     async def run(
         self, order: work.WorkOrder, body: bytes, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
-        """Pass the call on.
+        """Forward the call.
 
         Raises
         ------
         RefusalError
-            There is no whole answer; says whether the call ran.
+            There is no whole answer; states whether the call ran.
         """
         call = plain_service.ServiceCall(
             run_id=voiding.attempt_id(order.request_id, order.attempt),
@@ -65,8 +69,8 @@
             body=body,
         )
         try:
-            async with self._service.run(call) as found:
-                return await _pass_through(delivery, found)
+            async with self._service.run(call) as answer:
+                return await _forward(delivery, answer)
         except engine_module.NotSentError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.NO_BACKEND_SERVER, str(error)
@@ -79,7 +83,7 @@
     async def resume(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> None:
-        """Refuse: a plain service cannot resume.
+        """Refuse; a plain service cannot resume an answer.
 
         Raises
         ------
@@ -91,24 +95,28 @@
         )
 
 
-async def _pass_through(
-    delivery: runs.Delivery, found: plain_service.ServiceAnswer
+async def _forward(
+    delivery: runs.Delivery, answer: plain_service.ServiceAnswer
 ) -> runs.WholeAnswer | None:
-    # A small body is sent only once it is whole here, so that a service
-    # which breaks off gives an error with a status.  A large one is sent
-    # as it comes; a break in it tears the connection to the caller down.
-    first = bytearray()
-    is_stream = found.content_type.startswith(_EVENT_STREAM)
-    limit_bytes = 0 if is_stream else MAX_BUFFERED_BYTES
-    async for chunk in found.chunks:
-        first += chunk
-        if len(first) > limit_bytes:
+    # A small body is buffered, so that a service that breaks off leads to
+    # an error with a status.  A large body and a stream are forwarded as they
+    # arrive; if they break off, the connection to the caller is closed.
+    buffered = bytearray()
+    is_stream = answer.content_type.startswith(_EVENT_STREAM)
+    max_buffered_bytes = 0 if is_stream else MAX_BUFFERED_BYTES
+    async for chunk in answer.chunks:
+        buffered += chunk
+        if len(buffered) > max_buffered_bytes:
             break
     else:
-        return runs.WholeAnswer(found.status, found.content_type, bytes(first))
-    await delivery.begin(found.status, found.content_type, found.length_bytes)
-    await delivery.write(bytes(first))
-    async for chunk in found.chunks:
+        return runs.WholeAnswer(
+            answer.status, answer.content_type, bytes(buffered)
+        )
+    await delivery.begin(
+        answer.status, answer.content_type, answer.length_bytes
+    )
+    await delivery.write(bytes(buffered))
+    async for chunk in answer.chunks:
         await delivery.write(chunk)
     await delivery.end()
     return None
