--- a/lacewingpitch/errors.py
+++ b/lacewingpitch/errors.py
@@ -136,7 +136,7 @@
     kind
         Kind of the closed list.
     detail
-        Text for the caller; it never contains another caller's data.
+        Text for the caller; it never contains another customer's data.
     retry_after_s
         When to retry, in seconds; ``None`` for the value of
         `ANSWER_RULES`.
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""Bad input at the edges that callers and the platform reach."""
+"""Tests of invalid input from callers and from the platform."""
 
 import asyncio
 import collections
@@ -37,10 +37,10 @@
 MAX_HEAD_BYTES = 1 << 16
 EXAMPLES = 40
 CHUNK_BYTES = 1 << 16
-# Far above every limit and what a connection buffers.
+# Far above every limit, and above what a connection buffers.
 ENDLESS_BYTES = 64 << 20
 SERVICES = (contract.ServiceGrant(name='plain'),)
-ODD_JSON = [
+INVALID_BODIES = [
     b'',
     b'null',
     b'[]',
@@ -58,7 +58,7 @@
     b'{"model": "ficus-care", "messages": ' + b'[' * 100_000,
     b'{"messages": ' + b'[' * 400 + b']' * 400 + b'}',
 ]
-ODD_HEADS = [
+INVALID_HEADERS = [
     b'\r\n\r\n',
     b'GET\r\n\r\n',
     b'GET / HTTP/9.9\r\n\r\n',
@@ -86,13 +86,13 @@
     ),
     max_leaves=6,
 )
-# An answer of so many tokens and more, which a caller may ask for, lasts
-# longer than the time of its request.
+# Answers of so many tokens, which a caller may request, take longer than the
+# request's deadline.
 LONG_ANSWERS = range(500, (1 << 31) + 1)
 MAX_TOKENS = JSON.filter(
     lambda value: type(value) is not int or value not in LONG_ANSWERS
 )
-PLATFORM_GARBAGE = [
+INVALID_PLATFORM_DATA = [
     b'',
     b'null',
     b'[]',
@@ -130,7 +130,7 @@
 
 
 async def send_raw(port, data, *, half_close=False):
-    """Send bytes as they are; return what comes back until the end."""
+    """Send raw bytes; return all that is received until the end."""
     async with asyncio.timeout(processes.WAIT_S):
         reader, writer = await asyncio.open_connection(IP, port)
         with contextlib.closing(writer):
@@ -144,7 +144,7 @@
 
 
 async def serves(deployment, session):
-    """Whether a good request is still served."""
+    """Return whether a valid request is still served."""
     async with session.post(
         url_of(deployment),
         json={'model': 'ficus-care'},
@@ -155,7 +155,7 @@
 
 
 async def check_refusal(response):
-    """Hold an answer against the closed list, and return its kind."""
+    """Check a refusal against the closed list; return its kind."""
     body = msgspec.json.decode(await response.read(), type=work.ErrorBody)
     rule = errors.ANSWER_RULES[body.error.kind]
     assert response.status == rule.status
@@ -166,8 +166,8 @@
 
 
 class TestCallers:
-    @pytest.mark.parametrize('body', ODD_JSON)
-    async def test_odd_json_is_refused_as_not_run(
+    @pytest.mark.parametrize('body', INVALID_BODIES)
+    async def test_invalid_bodies_are_refused_as_not_run(
         self, deployment, session, body
     ):
         async with session.post(
@@ -209,8 +209,8 @@
         assert first.startswith(b'HTTP/1.1 100')
         assert second.startswith(b'HTTP/1.1 200')
 
-    @pytest.mark.parametrize('data', ODD_HEADS)
-    async def test_odd_heads_end_the_connection_only(
+    @pytest.mark.parametrize('data', INVALID_HEADERS)
+    async def test_invalid_headers_end_only_the_connection(
         self, deployment, session, data
     ):
         answer = await send_raw(
@@ -223,13 +223,13 @@
     @pytest.mark.parametrize(
         'name', ['Authorization', 'Idempotency-Key', 'Content-Type', 'X-Any']
     )
-    async def test_a_header_that_is_no_text_is_refused(
+    async def test_a_header_that_is_not_utf8_is_refused(
         self, deployment, session, name
     ):
-        """A caller gets a broken connection for one odd byte.
+        """Guards against a broken connection because of an invalid byte.
 
-        A header that is not UTF-8 reaches the handler as lone surrogates
-        and fails at the first codec, as an error nobody expects.
+        A header that is not UTF-8 reaches the handler as lone surrogates,
+        which raise an unexpected error where they are first encoded.
         """
         head = (
             b'POST /v1/completions HTTP/1.1\r\nHost: a\r\n'
@@ -302,13 +302,13 @@
         ) as response:
             assert await check_refusal(response) == 'not-found'
 
-    async def test_every_answer_says_its_request_id(self, deployment, session):
+    async def test_every_answer_has_a_request_id(self, deployment, session):
         async with session.get(url_of(deployment, '/v1/models')) as response:
             assert await check_refusal(response) == 'unauthenticated'
 
     @hypothesis_settings(max_examples=EXAMPLES)
     @given(data=strategies.binary(max_size=200))
-    def test_any_bytes_leave_the_entry_at_work(self, data):
+    def test_entry_serves_after_any_bytes(self, data):
         async def check():
             async with (
                 demo.Deployment() as deployment,
@@ -386,14 +386,14 @@
 
     @staticmethod
     def _run(strategy, check):
-        """Check every example against one deployment."""
+        """Check all examples against one deployment."""
         with asyncio.Runner() as runner:
-            held = contextlib.AsyncExitStack()
+            exits = contextlib.AsyncExitStack()
 
             async def start():
                 return (
-                    await held.enter_async_context(demo.Deployment()),
-                    await held.enter_async_context(aiohttp.ClientSession()),
+                    await exits.enter_async_context(demo.Deployment()),
+                    await exits.enter_async_context(aiohttp.ClientSession()),
                 )
 
             deployment, session = runner.run(start())
@@ -405,17 +405,17 @@
             try:
                 check_example()
             finally:
-                runner.run(held.aclose())
+                runner.run(exits.aclose())
 
 
 class TestSidecar:
-    async def test_takes_orders_of_its_deployment_only(
+    async def test_accepts_orders_of_its_deployment_only(
         self, deployment, session
     ):
-        """A backend server runs work that no contract allows.
+        """Guards against running work that no contract allows.
 
-        Somebody else sent it: a caller who found the sidecar's port, or
-        an entry of another deployment whose list named the address.
+        A caller that found the sidecar's port may send an order, or an entry
+        of another deployment whose list contains the address.
         """
         order = samples.order(method='GET', service=demo.SERVICE)
         foreign = link.MessageSigner('demo', 'another secret of 16', 'entry-0')
@@ -488,11 +488,11 @@
 
 
 class TestSlowCallers:
-    async def test_a_body_that_does_not_come_is_given_up(self):
-        """New callers are refused while nobody seems to be served.
+    async def test_an_incomplete_body_times_out(self):
+        """Guards against slow bodies that keep new callers from service.
 
-        Others opened requests and send their bodies a byte now and then,
-        or never; each holds a place among the requests in progress.
+        Callers open requests and send the bodies very slowly or never; each
+        counts among the requests in progress, whose number is limited.
         """
         async with demo.Deployment(body_timeout_s=0.3) as deployment:
             key = deployment.keys['haneul']
@@ -506,13 +506,13 @@
             assert b'Lacewingpitch-Outcome: not-run' in answer
 
     @pytest.mark.parametrize('stream', [True, False])
-    async def test_a_caller_that_hangs_up_frees_what_it_holds(
+    async def test_a_caller_that_disconnects_releases_its_resources(
         self, deployment, stream
     ):
-        """Engines are full of work that nobody waits for.
+        """Guards against engines that are busy with abandoned requests.
 
-        Callers lose patience, hang up and ask again; the first runs go
-        on to their ends.
+        Callers disconnect and send their requests again, while the first
+        runs continue to their ends.
         """
         # The whole answer would take minutes.
         for found in deployment.engines:
@@ -528,12 +528,12 @@
         await processes.until(lambda: _is_running(deployment, 0))
         assert not await _has_finished(deployment)
 
-    async def test_a_caller_that_stops_to_read_frees_what_it_holds(self):
-        """An adapter stays in its slot for a caller that is not there.
+    async def test_a_caller_that_stops_reading_releases_its_resources(self):
+        """Guards against a caller that occupies an adapter slot forever.
 
-        The caller opened a long stream and then took no more bytes, but
-        its connection stays up.  Writing waits, the sidecar's writing
-        too, and so the run never ends.
+        The caller opens a long stream and stops reading, but its connection
+        stays open.  The entry's writes wait, so the sidecar's writes wait
+        too, and the run never ends.
         """
         async with demo.Deployment(stall_timeout_s=1) as deployment:
             # The whole stream would take minutes.
@@ -552,12 +552,12 @@
 
 class TestDrain:
     @pytest.mark.proves(Promise.DRAIN, Fault.HALF_OPEN, Step.BEFORE_DELIVERY)
-    async def test_a_whole_answer_on_its_way_is_not_cut(self, tmp_path):
-        """A caller on a slow line gets half of a long answer.
+    async def test_a_whole_answer_in_transit_is_not_cut_off(self, tmp_path):
+        """Guards against cutting off the answer to a slow caller.
 
-        The entry had the answer whole, its handler had returned, and the
-        rest waited for the caller to read; then the entry was drained,
-        which waited for handlers only.
+        The entry has the whole answer, its handler has returned, and the
+        rest waits for the caller to read.  A drain that waits only for
+        handlers would end the connection now.
         """
         # More than the kernel buffers for a connection.
         body = b'x' * (15 << 19)
@@ -574,7 +574,7 @@
             ) as reader:
                 await processes.until(lambda: _has_echoed(deployment))
                 entry.terminate()
-                # Longer than the server gives to handlers that it ends.
+                # Longer than the server's shutdown timeout for handlers.
                 await asyncio.sleep(2)
                 answer = await _read_all(reader)
             assert await entry.exited() == 0
@@ -582,11 +582,13 @@
 
 
 class TestLogs:
-    async def test_hold_no_api_key_and_no_body(self, session, capsys, caplog):
-        """A key turns up in a log that many may read.
+    async def test_contain_no_api_key_and_no_body(
+        self, session, capsys, caplog
+    ):
+        """Guards against API keys in logs.
 
-        The caller sent it in a head that cannot be parsed, or with a
-        request that is refused or fails, and the error quotes it.
+        The caller sends its key in headers that cannot be parsed, or with a
+        request that is refused or fails, and the error message contains it.
         """
         cli.configure_logs('debug')
         marker = 'the-words-of-a-customer'
@@ -622,12 +624,12 @@
 
 
 class TestPlatformAnswers:
-    """Garbage from the platform is one kind of error, and bounded."""
+    """Invalid data of the platform raises `PlatformError`, within limits."""
 
-    @pytest.mark.parametrize('body', PLATFORM_GARBAGE)
-    async def test_hand_made(self, session, body):
+    @pytest.mark.parametrize('body', INVALID_PLATFORM_DATA)
+    async def test_invalid_bodies(self, session, body):
         async with _answering(body) as url:
-            await _check_platform_errors(session, url)
+            await _check_raises_platform_errors(session, url)
 
     @hypothesis_settings(max_examples=EXAMPLES)
     @given(body=strategies.binary(max_size=100))
@@ -637,7 +639,7 @@
                 _answering(body) as url,
                 aiohttp.ClientSession() as session,
             ):
-                await _check_platform_errors(session, url)
+                await _check_raises_platform_errors(session, url)
 
         asyncio.run(check())
 
@@ -645,12 +647,12 @@
         server = await asyncio.start_server(_truncate, IP, 0)
         async with server:
             port = server.sockets[0].getsockname()[1]
-            await _check_platform_errors(session, f'http://{IP}:{port}')
+            await _check_raises_platform_errors(session, f'http://{IP}:{port}')
 
     async def test_an_answer_without_end(self, session):
-        """A process is killed for its memory, and its neighbours too.
+        """Guards against processes that run out of memory.
 
-        All of them read the same value, which has no end.
+        All of them read the same value, which never ends.
         """
         sent = collections.Counter()
 
@@ -663,18 +665,20 @@
             return response
 
         async with _serving(answer) as url:
-            await _check_platform_errors(session, url)
+            await _check_raises_platform_errors(session, url)
         assert len(sent) == 3
         assert max(sent.values()) < ENDLESS_BYTES
 
-    async def test_contracts_come_into_force_after_garbage(self, deployment):
-        """No change of a contract arrives any more, though all looks well.
+    async def test_contracts_come_into_force_after_invalid_data(
+        self, deployment
+    ):
+        """Guards against contracts that silently stop being updated.
 
-        Garbage was published once, by mistake, as index and as shard;
-        the task that follows the contracts ended with an error.
+        Invalid data is published once as index and as shard, and ends the
+        task that follows the contracts with an error.
         """
         for name in ('contracts.index', 'contracts.0'):
-            for body in PLATFORM_GARBAGE:
+            for body in INVALID_PLATFORM_DATA:
                 await deployment.platform.publish(name, body)
         changed = contract.Contract(
             customer='haneul', revision=2, key_digests=(), revoked=True
@@ -688,7 +692,7 @@
         await processes.until(is_revoked)
 
 
-async def _check_platform_errors(session, url):
+async def _check_raises_platform_errors(session, url):
     with pytest.raises(errors.PlatformError):
         await config_service.HttpConfigService(session, url).read('a')
     with pytest.raises(errors.PlatformError):
@@ -724,19 +728,19 @@
 
 @contextlib.asynccontextmanager
 async def _unread_call(port, key, path, body):
-    """A caller that has sent a request and reads nothing by itself."""
+    """Send a request without reading the answer; yield the socket."""
     head = (
         f'POST {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n'
         f'Authorization: Bearer {key}\r\nContent-Length: {len(body)}\r\n\r\n'
     )
-    found = socket.socket()
-    with contextlib.closing(found):
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        found.setblocking(False)
+    connection = socket.socket()
+    with contextlib.closing(connection):
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        connection.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(found, (IP, port))
-        await loop.sock_sendall(found, head.encode() + body)
-        yield found
+        await loop.sock_connect(connection, (IP, port))
+        await loop.sock_sendall(connection, head.encode() + body)
+        yield connection
 
 
 async def _has_echoed(deployment):
@@ -745,11 +749,11 @@
         return bool(await response.json())
 
 
-async def _read_all(found):
+async def _read_all(connection):
     loop = asyncio.get_running_loop()
     data = bytearray()
     async with asyncio.timeout(processes.WAIT_S):
-        while chunk := await loop.sock_recv(found, MAX_HEAD_BYTES):
+        while chunk := await loop.sock_recv(connection, MAX_HEAD_BYTES):
             data += chunk
     return bytes(data)
 
--- a/tests/test_http_guard.py
+++ b/tests/test_http_guard.py
@@ -1,4 +1,4 @@
-"""What counts as delivered, over real connections."""
+"""Tests of when an answer counts as delivered, over real connections."""
 
 import asyncio
 import socket
@@ -13,15 +13,15 @@
 IP = '127.0.0.1'
 STALL_S = 1.0
 BIG = b'x' * (32 << 20)
-# Fits the buffer of this process, and not that of the system.
-FITTING = b'x' * (60 << 10)
-BODIES = {'/big': BIG, '/fitting': FITTING, '/small': b'small'}
+# Fits into the buffer of this process, but not into that of the kernel.
+BUFFERED = b'x' * (60 << 10)
+BODIES = {'/big': BIG, '/fitting': BUFFERED, '/small': b'small'}
 
 
 @pytest.fixture
 async def served():
-    """Serve /big and /small; tell what became of each answer."""
-    fates = asyncio.Queue()
+    """Serve `BODIES`; queue the result of each answer."""
+    results = asyncio.Queue()
     server = http_server.HttpServer(1 << 20, stall_s=STALL_S)
 
     async def answer(request):
@@ -32,18 +32,18 @@
         try:
             await http_guard.finish_response(request, response)
         except (ConnectionError, asyncio.CancelledError):
-            fates.put_nowait('gone')
+            results.put_nowait('gone')
             raise
-        fates.put_nowait('taken')
+        results.put_nowait('taken')
         return response
 
     server.route_tracked('GET', '/{name}', answer)
     await server.start(IP, 0)
-    yield server, fates
+    yield server, results
     await server.close()
 
 
-async def ask(server, path):
+async def send_request(server, path):
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     connection.connect((IP, server.port))
@@ -58,34 +58,34 @@
         fault_matrix.Fault.HALF_OPEN,
         fault_matrix.Step.BEFORE_DELIVERY,
     )
-    async def test_caller_that_vanishes_before_reading(self, served):
-        """The account claims an answer that its caller never got whole.
+    async def test_caller_that_disappears_before_reading(self, served):
+        """Guards against counting an incomplete answer as delivered.
 
-        The caller sends a request, does not read, and vanishes while
-        most of the answer waits in the entry's buffer.  The cause would
-        be taking the end of the last write for delivery.
+        The caller sends a request, does not read, and disappears while most
+        of the answer is in the entry's buffer.  The end of the last write
+        must not count as delivery.
         """
-        server, fates = served
-        reader, writer = await ask(server, '/fitting')
+        server, results = served
+        reader, writer = await send_request(server, '/fitting')
         await reader.readexactly(10)
         writer.transport.abort()
-        assert await asyncio.wait_for(fates.get(), 30) == 'gone'
+        assert await asyncio.wait_for(results.get(), 30) == 'gone'
 
-    async def test_caller_that_never_reads_is_given_up(self, served):
-        server, fates = served
-        _, writer = await ask(server, '/big')
-        assert await asyncio.wait_for(fates.get(), 30) == 'gone'
+    async def test_caller_that_never_reads_is_disconnected(self, served):
+        server, results = served
+        _, writer = await send_request(server, '/big')
+        assert await asyncio.wait_for(results.get(), 30) == 'gone'
         writer.close()
 
-    async def test_whole_answers_are_taken_on_one_connection(self, served):
-        server, fates = served
-        reader, writer = await ask(server, '/big')
+    async def test_whole_answers_are_delivered_on_one_connection(self, served):
+        server, results = served
+        reader, writer = await send_request(server, '/big')
         head = await reader.readuntil(b'\r\n\r\n')
         assert b'200 OK' in head
         assert await reader.readexactly(len(BIG)) == BIG
-        assert await fates.get() == 'taken'
+        assert await results.get() == 'taken'
         writer.write(b'GET /small HTTP/1.1\r\nHost: x\r\n\r\n')
         await reader.readuntil(b'\r\n\r\n')
         assert await reader.readexactly(5) == b'small'
-        assert await fates.get() == 'taken'
+        assert await results.get() == 'taken'
         writer.close()
