--- a/lacewingpitch/backend_call.py
+++ b/lacewingpitch/backend_call.py
@@ -74,7 +74,7 @@
     @functools.cached_property
     def fingerprint(self) -> str:
         """Return a hash that is the same for each attempt of the caller."""
-        return request_fingerprint.of(
+        return request_fingerprint.compute(
             self.method,
             self.target,
             self.organisation.name if self.organisation else '',
--- a/lacewingpitch/backend_list.py
+++ b/lacewingpitch/backend_list.py
@@ -19,6 +19,9 @@
 class BackendServer:
     """One incarnation of a backend server.
 
+    An incarnation is a server under a name that is never used for another;
+    its process may restart several times under that name.
+
     Parameters
     ----------
     name
@@ -141,7 +144,7 @@
         self._is_new_epoch = is_new_epoch
         if is_new_epoch:
             self._departed.bar_departed(
-                {server.start_id for server in self._unlisted.all_kept()}
+                {server.start_id for server in self._unlisted.all_retained()}
             )
         self._confirmed_before_s = self._confirmed_at_s
         self._confirmed_at_s = self._clock.monotonic_s()
@@ -308,7 +311,7 @@
     def _with_unlisted(self, service: str) -> tuple[BackendServer, ...]:
         listed = self._listed(service)
         found = listed + _at_other_addresses(
-            self._unlisted.kept(service), listed
+            self._unlisted.retained(service), listed
         )
         return found or self._unlisted.last_resort(service)
 
--- a/lacewingpitch/crash_record.py
+++ b/lacewingpitch/crash_record.py
@@ -103,6 +103,9 @@
 class CrashRecord:
     """Counts crashes of backend servers by the request that ran on them.
 
+    A suspect is a request that was beginning to run on a server when the
+    server crashed.
+
     Guards against a request that crashes every server that begins to run
     it, and that its caller sends again to any entry under a new id.
 
--- a/lacewingpitch/departed_servers.py
+++ b/lacewingpitch/departed_servers.py
@@ -39,19 +39,19 @@
         """Record a server that is listed, and may be listed again."""
         self._removed_at_s.pop(start_id, None)
 
-    def bar_departed(self, kept: Collection[str]) -> None:
+    def bar_departed(self, retained: Collection[str]) -> None:
         """Bar the entries of departed servers after a restore from a copy.
 
         Parameters
         ----------
-        kept
+        retained
             Start ids of servers that are in use although not listed.
         """
         now_s = self._clock.monotonic_s()
         self._barred_until_s = {
             start_id: now_s + _BARRED_S
             for start_id, at_s in self._removed_at_s.items()
-            if now_s - at_s < _RETENTION_S and start_id not in kept
+            if now_s - at_s < _RETENTION_S and start_id not in retained
         }
         # A start that has announced that it leaves never serves again.
         self._barred_until_s.update(
--- a/lacewingpitch/request_fingerprint.py
+++ b/lacewingpitch/request_fingerprint.py
@@ -6,7 +6,7 @@
 _DIGEST_BYTES = 8
 
 
-def of(method: str, target: str, organisation: str, body: bytes) -> str:
+def compute(method: str, target: str, organisation: str, body: bytes) -> str:
     """Return the fingerprint of a request.
 
     Callers use a new id for each attempt, so that an id does not show that
--- a/lacewingpitch/request_forwarder.py
+++ b/lacewingpitch/request_forwarder.py
@@ -183,7 +183,7 @@
             return
         started_s = self._clock.monotonic_s()
         caller = request.organisation
-        wanted = turn_spec.TurnSpec(
+        spec = turn_spec.TurnSpec(
             run_id=request.request_id,
             attempt=history.sent_count + history.unreached_count + 1,
             service=services[0],
@@ -204,7 +204,7 @@
             weight=caller.weight if caller else 1.0,
             fingerprint=request.fingerprint,
         )
-        async with self._turns.acquire(wanted, history.servers) as turn:
+        async with self._turns.acquire(spec, history.servers) as turn:
             history.turn_wait_s += self._clock.monotonic_s() - started_s
             yield turn
 
@@ -229,14 +229,14 @@
             deadline_at_s=request.deadline_at_s,
         )
         started_s = self._clock.monotonic_s()
-        had_run = history.may_have_run
+        may_have_run_before = history.may_have_run
         # From here on the request may run, also if its deadline passes or
         # its caller disconnects before the answer arrives.
         history.may_have_run = True
         try:
             await self._call(call, history, delivery)
         except (backend_call.NotSentError, backend_call.NotRunError) as error:
-            history.may_have_run = had_run
+            history.may_have_run = may_have_run_before
             return self._record_failure(request, turn, history, error)
         except errors.PlatformError as error:
             return self._record_failure(request, turn, history, error)
--- a/lacewingpitch/unlisted_servers.py
+++ b/lacewingpitch/unlisted_servers.py
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    kept_until_s
+    retained_until_s
         Monotonic time until which it is used beside listed servers.
     last_resort_until_s
         Monotonic time until which it is used if no server is listed.
@@ -54,7 +54,7 @@
 
     server: _Server
     unlisted_at_s: float
-    kept_until_s: float
+    retained_until_s: float
     last_resort_until_s: float
 
 
@@ -68,8 +68,8 @@
     counts as connected again.  The first list after the outage tells the
     two apart: entries from before survive only the second case.
 
-    Servers that announced that they leave are not added here, and a later
-    outage does not bring back a server whose time is over.
+    Servers that announced that they leave are not added here.  A server
+    whose time is over is dropped, and a later outage does not bring it back.
 
     Parameters
     ----------
@@ -127,7 +127,7 @@
             0.0, self._failure_began_at_s - self._unreadable_since_s
         )
         for record in self._records.values():
-            record.kept_until_s += unreadable_s
+            record.retained_until_s += unreadable_s
 
     def add(self, server: _Server, listed_at_s: float) -> None:
         """Add a server that is no longer listed.
@@ -140,7 +140,7 @@
         self._records[server.name] = _Record(
             server=server,
             unlisted_at_s=self._clock.monotonic_s(),
-            kept_until_s=-math.inf,
+            retained_until_s=-math.inf,
             last_resort_until_s=listed_at_s + _LAST_RESORT_S,
         )
         self._undecided.add(server.name)
@@ -160,7 +160,7 @@
         """
         if not self._undecided:
             return
-        self._decide(self._kept_until_s(has_survivors), has_survivors)
+        self._decide(self._retained_until_s(has_survivors), has_survivors)
 
     def decide_new_epoch(self) -> None:
         """Set how long to use servers that a restored list lacks.
@@ -169,19 +169,19 @@
         entries again, also those whose entries had expired in an earlier
         outage.
         """
-        self._undecided.update(server.name for server in self.all_kept())
+        self._undecided.update(server.name for server in self.all_retained())
         if self._undecided:
             self._decide(self._relisted_by_s, has_survivors=False)
 
-    def _decide(self, kept_until_s: float, has_survivors: bool) -> None:
+    def _decide(self, retained_until_s: float, has_survivors: bool) -> None:
         for name in self._undecided:
-            self._records[name].kept_until_s = kept_until_s
+            self._records[name].retained_until_s = retained_until_s
         log.info(
             'retention of unlisted backend servers decided',
             backend_servers=sorted(self._undecided),
             failed_reads=self._failure_count,
             entries_survived=has_survivors,
-            kept_s=round(max(0.0, kept_until_s - self._now_s()), 3),
+            kept_s=round(max(0.0, retained_until_s - self._now_s()), 3),
         )
         self._undecided.clear()
 
@@ -190,19 +190,19 @@
         record = self._records.get(name)
         return record.server if record else None
 
-    def all_kept(self) -> tuple[_Server, ...]:
+    def all_retained(self) -> tuple[_Server, ...]:
         """Return all servers to use beside the listed ones."""
         now_s = self._now_s()
         return tuple(
             record.server
             for record in self._records.values()
-            if now_s < record.kept_until_s
+            if now_s < record.retained_until_s
         )
 
-    def kept(self, service: str) -> tuple[_Server, ...]:
+    def retained(self, service: str) -> tuple[_Server, ...]:
         """Return the servers of a service to use beside the listed ones."""
         self._expire()
-        return tuple(s for s in self.all_kept() if s.service == service)
+        return tuple(s for s in self.all_retained() if s.service == service)
 
     def last_resort(self, service: str) -> tuple[_Server, ...]:
         """Return the servers of a service to use if none is listed."""
@@ -214,7 +214,7 @@
             and now_s < record.last_resort_until_s
         )
 
-    def _kept_until_s(self, has_survivors: bool) -> float:
+    def _retained_until_s(self, has_survivors: bool) -> float:
         if not self.is_after_outage:
             return -math.inf
         if not has_survivors:
@@ -236,7 +236,9 @@
     def _expire(self) -> None:
         now_s = self._now_s()
         for name, record in list(self._records.items()):
-            if now_s < max(record.kept_until_s, record.last_resort_until_s):
+            if now_s < max(
+                record.retained_until_s, record.last_resort_until_s
+            ):
                 continue
             del self._records[name]
             log.info(
--- a/tests/test_request_fingerprint.py
+++ b/tests/test_request_fingerprint.py
@@ -16,10 +16,13 @@
 class TestFingerprint:
     @hypothesis.given(PARTS, PARTS)
     def test_is_equal_for_equal_requests_only(self, one, other):
-        found = request_fingerprint.of(*one), request_fingerprint.of(*other)
+        found = (
+            request_fingerprint.compute(*one),
+            request_fingerprint.compute(*other),
+        )
         assert (found[0] == found[1]) == (one == other)
 
     def test_shows_nothing_of_the_request(self):
-        found = request_fingerprint.of('POST', '/a', 'acme', b'secret')
+        found = request_fingerprint.compute('POST', '/a', 'acme', b'secret')
         assert len(found) == 16
         assert int(found, 16) >= 0
--- a/tests/test_request_forwarder.py
+++ b/tests/test_request_forwarder.py
@@ -525,7 +525,7 @@
             )
 
     def fingerprint(self):
-        return request_fingerprint.of('POST', '/x?y=1', '', b'')
+        return request_fingerprint.compute('POST', '/x?y=1', '', b'')
 
     def servers(self, *steps, found_route=ONCE, **fields):
         """Return the servers whose crash counts for the request."""
--- a/tests/test_unlisted_servers.py
+++ b/tests/test_unlisted_servers.py
@@ -39,12 +39,12 @@
     return asked_at_s
 
 
-class TestKept:
-    def test_no_server_is_kept_without_an_outage(self, unlisted):
+class TestRetention:
+    def test_no_server_is_retained_without_an_outage(self, unlisted):
         unlisted.record_read()
         unlisted.add(A, 100.0)
         unlisted.decide(has_survivors=True)
-        assert unlisted.kept('lookup') == ()
+        assert unlisted.retained('lookup') == ()
 
     def test_ends_before_contact_if_entries_survived(self, unlisted, clock):
         """Guards against requests to a server that left in the outage.
@@ -56,10 +56,10 @@
         unlisted.record_read()
         unlisted.add(A, 100.0)
         unlisted.decide(has_survivors=True)
-        assert unlisted.kept('lookup') == (A,)
-        assert unlisted.kept('other') == ()
+        assert unlisted.retained('lookup') == (A,)
+        assert unlisted.retained('other') == ()
         clock.now_s = asked_at_s + CONTACT_S - 0.2
-        assert unlisted.kept('lookup') == ()
+        assert unlisted.retained('lookup') == ()
 
     def test_lasts_until_all_are_listed_again_if_none_survived(
         self, unlisted, clock
@@ -71,26 +71,26 @@
         unlisted.add(A, 100.0)
         unlisted.decide(has_survivors=False)
         clock.now_s += 2.4
-        assert unlisted.kept('lookup') == (A,)
+        assert unlisted.retained('lookup') == (A,)
         clock.now_s += 0.2
-        assert unlisted.kept('lookup') == ()
+        assert unlisted.retained('lookup') == ()
 
     def test_one_failed_read_is_no_outage(self, unlisted, clock):
-        """Guards against keeping a server after one broken connection."""
+        """Guards against retaining a server after one broken connection."""
         unlisted.record_read_failure(99.9)
         unlisted.record_read()
         unlisted.add(A, 98.0)
         unlisted.decide(has_survivors=True)
-        assert unlisted.kept('lookup') == ()
+        assert unlisted.retained('lookup') == ()
 
-    def test_no_server_is_kept_if_unlisted_later(self, unlisted, clock):
+    def test_no_server_is_retained_if_unlisted_later(self, unlisted, clock):
         fail_reads(unlisted, clock)
         unlisted.record_read()
         unlisted.decide(has_survivors=True)
         unlisted.record_read()
         unlisted.add(A, clock.now_s)
         unlisted.decide(has_survivors=True)
-        assert unlisted.kept('lookup') == ()
+        assert unlisted.retained('lookup') == ()
 
     def test_a_server_that_is_listed_again_is_dropped(self, unlisted, clock):
         fail_reads(unlisted, clock)
@@ -104,7 +104,7 @@
 
 class TestNextOutage:
     @pytest.fixture
-    def kept(self, unlisted, clock):
+    def retained(self, unlisted, clock):
         fail_reads(unlisted, clock)
         unlisted.record_read()
         unlisted.add(A, 100.0)
@@ -112,25 +112,25 @@
         clock.now_s += 1.0
         return unlisted
 
-    def test_keeps_the_server_in_use(self, kept, clock):
-        fail_reads(kept, clock, length_s=30.0)
-        assert kept.kept('lookup') == (A,)
+    def test_keeps_the_server_in_use(self, retained, clock):
+        fail_reads(retained, clock, length_s=30.0)
+        assert retained.retained('lookup') == (A,)
 
-    def test_leaves_the_rest_of_the_time(self, kept, clock):
+    def test_leaves_the_rest_of_the_time(self, retained, clock):
         """Guards against a time that starts again with each outage."""
-        last_s = fail_reads(kept, clock, length_s=30.0)
-        kept.record_read()
-        kept.decide(has_survivors=True)
+        last_s = fail_reads(retained, clock, length_s=30.0)
+        retained.record_read()
+        retained.decide(has_survivors=True)
         clock.now_s = last_s + 0.4
-        assert kept.kept('lookup') == (A,)
+        assert retained.retained('lookup') == (A,)
         clock.now_s = last_s + 1.6
-        assert kept.kept('lookup') == ()
+        assert retained.retained('lookup') == ()
 
-    def test_does_not_bring_back_a_dropped_server(self, kept, clock):
+    def test_does_not_bring_back_a_dropped_server(self, retained, clock):
         """Guards against requests to a server that left before."""
         clock.now_s += 2.0
-        fail_reads(kept, clock)
-        assert kept.kept('lookup') == ()
+        fail_reads(retained, clock)
+        assert retained.retained('lookup') == ()
 
 
 class TestLastResort:
