--- a/lacewingpitch/backend_list.py
+++ b/lacewingpitch/backend_list.py
@@ -31,8 +31,8 @@
     is_leaving
         Whether it must get no new requests.
     created_revision
-        Revision of the store that created its entry; increases with each
-        new entry of the list.
+        Revision at which its entry was created; increases with each new
+        entry of the list.
     started_at_ms
         Unix time of its start; 0 if unknown.  A server may restart under
         the same name, and then holds nothing from before.
@@ -78,7 +78,7 @@
         self._restarts: reactivex.subject.Subject[str] = (
             reactivex.subject.Subject()
         )
-        self._ends: reactivex.subject.Subject[BackendServer] = (
+        self._unplanned_ends: reactivex.subject.Subject[BackendServer] = (
             reactivex.subject.Subject()
         )
         self._servers: dict[str, BackendServer] = {}
@@ -90,7 +90,7 @@
         # `created_revision` by name, of entries listed as an outage began.
         self._revisions_before_outage: dict[str, int] = {}
         self._confirmed_at_s = clock.monotonic_s()
-        self._confirmed_before_s = self._confirmed_at_s
+        self._previously_confirmed_at_s = self._confirmed_at_s
         self._by_service: dict[str, tuple[BackendServer, ...]] = {}
         self.is_known = False
 
@@ -101,16 +101,20 @@
 
     @property
     def restarts(self) -> reactivex.Observable[str]:
-        """Return the names of servers that restart under the same name.
+        """Return an observable of the names of servers that restart.
 
-        State recorded for them before the restart is no longer valid.
+        A server restarts under the same name.  State recorded for it before
+        the restart is no longer valid.
         """
         return self._restarts
 
     @property
     def unplanned_ends(self) -> reactivex.Observable[BackendServer]:
-        """Return servers whose start has ended without leaving first."""
-        return self._ends
+        """Return an observable of servers that end without leaving first.
+
+        Each is the server with its start that has ended.
+        """
+        return self._unplanned_ends
 
     def record_read_failure(self, asked_at_s: float | None = None) -> None:
         """Record that the list could not be read.
@@ -146,18 +150,21 @@
             self._departed.bar_departed(
                 {server.start_id for server in self._unlisted.all_retained()}
             )
-        self._confirmed_before_s = self._confirmed_at_s
+        self._previously_confirmed_at_s = self._confirmed_at_s
         self._confirmed_at_s = self._clock.monotonic_s()
         self._unlisted.record_read()
 
     def finish_update(self) -> None:
-        """Record that all changes of a read have been applied."""
+        """Complete a read after all its changes have been applied.
+
+        Decides how long servers that are no longer listed may be used.
+        """
         if self._is_new_epoch:
             # A copy lacks all entries that were written after it, also if
             # entries from before the outage are in it.
-            self._unlisted.decide_new_epoch()
+            self._unlisted.set_retention_after_restore()
             return
-        self._unlisted.decide(
+        self._unlisted.set_retention(
             any(
                 self._revisions_before_outage.get(server.name)
                 == server.created_revision
@@ -198,7 +205,7 @@
 
         An entry of an earlier start of the server is ignored.
         """
-        before = self._known(server.name)
+        before = self._listed_or_unlisted(server.name)
         if before and server.started_at_ms < before.started_at_ms:
             # An entry that a server wrote before its restart can arrive
             # late.  It names adapters that the server no longer holds.
@@ -216,7 +223,7 @@
         self._unlisted.discard(server.name)
         self._servers[server.name] = server
         if before and server.started_at_ms > before.started_at_ms:
-            self._ends.on_next(before)
+            self._unplanned_ends.on_next(before)
             self._announce_restart(server)
         if before is None or before.is_leaving != server.is_leaving:
             log.info(
@@ -259,7 +266,7 @@
             server, started_at_ms=started_at_ms, adapters={}
         )
         self._by_service.clear()
-        self._ends.on_next(server)
+        self._unplanned_ends.on_next(server)
         self._announce_restart(self._servers[name])
         return True
 
@@ -315,7 +322,7 @@
         )
         return found or self._unlisted.last_resort(service)
 
-    def _known(self, name: str) -> BackendServer | None:
+    def _listed_or_unlisted(self, name: str) -> BackendServer | None:
         return self._servers.get(name) or self._unlisted.get(name)
 
     def _announce_restart(self, server: BackendServer) -> None:
@@ -336,10 +343,10 @@
             was_leaving=server.is_leaving,
         )
         if not server.is_leaving:
-            self._unlisted.add(server, self._confirmed_before_s)
+            self._unlisted.add(server, self._previously_confirmed_at_s)
         self._departed.record_removed(server.start_id)
         if not self._is_new_epoch and not self._unlisted.is_after_outage:
-            self._ends.on_next(server)
+            self._unplanned_ends.on_next(server)
 
 
 def _at_other_addresses(
--- a/lacewingpitch/unlisted_servers.py
+++ b/lacewingpitch/unlisted_servers.py
@@ -82,7 +82,7 @@
         self._clock = clock
         self._contact_s = contact_s
         self._records: dict[str, _Record[_Server]] = {}
-        self._undecided: set[str] = set()
+        self._pending: set[str] = set()
         self._failure_count = 0
         self._unreadable_since_s = 0.0
         self._failure_began_at_s = -math.inf
@@ -116,8 +116,8 @@
     def record_read(self) -> None:
         """Record that the list was read, or that nothing has changed.
 
-        Servers that are in use get the length of the outage in addition:
-        none of them could be listed again during it.
+        Extends the retention of all servers by the length of the outage, in
+        which none of them could be listed again.
         """
         if not self.is_unreadable:
             self._failure_count = 0
@@ -143,14 +143,14 @@
             retained_until_s=-math.inf,
             last_resort_until_s=listed_at_s + _LAST_RESORT_S,
         )
-        self._undecided.add(server.name)
+        self._pending.add(server.name)
 
     def discard(self, name: str) -> None:
         """Remove a server that is listed again."""
         self._records.pop(name, None)
-        self._undecided.discard(name)
+        self._pending.discard(name)
 
-    def decide(self, has_survivors: bool) -> None:
+    def set_retention(self, has_survivors: bool) -> None:
         """Set how long to use the servers that were added since a read.
 
         Parameters
@@ -158,32 +158,36 @@
         has_survivors
             Whether entries from before the last outage are still listed.
         """
-        if not self._undecided:
+        if not self._pending:
             return
-        self._decide(self._retained_until_s(has_survivors), has_survivors)
+        self._set_retention(
+            self._retained_until_s(has_survivors), has_survivors
+        )
 
-    def decide_new_epoch(self) -> None:
+    def set_retention_after_restore(self) -> None:
         """Set how long to use servers that a restored list lacks.
 
         The store has been restored from a copy.  All servers write their
         entries again, also those whose entries had expired in an earlier
         outage.
         """
-        self._undecided.update(server.name for server in self.all_retained())
-        if self._undecided:
-            self._decide(self._relisted_by_s, has_survivors=False)
-
-    def _decide(self, retained_until_s: float, has_survivors: bool) -> None:
-        for name in self._undecided:
+        self._pending.update(server.name for server in self.all_retained())
+        if self._pending:
+            self._set_retention(self._relisted_by_s, has_survivors=False)
+
+    def _set_retention(
+        self, retained_until_s: float, has_survivors: bool
+    ) -> None:
+        for name in self._pending:
             self._records[name].retained_until_s = retained_until_s
         log.info(
-            'retention of unlisted backend servers decided',
-            backend_servers=sorted(self._undecided),
+            'retention of unlisted backend servers set',
+            backend_servers=sorted(self._pending),
             failed_reads=self._failure_count,
             entries_survived=has_survivors,
             kept_s=round(max(0.0, retained_until_s - self._now_s()), 3),
         )
-        self._undecided.clear()
+        self._pending.clear()
 
     def get(self, name: str) -> _Server | None:
         """Return a server if it is still recorded."""
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -112,7 +112,7 @@
 
 class TestPlainService:
     @pytest.fixture
-    def turns(self, record, clock):
+    def selector(self, record, clock):
         servers = backend_list.BackendList(clock)
         servers.replace_all(
             backend_list.BackendServer(
@@ -128,43 +128,43 @@
             record,
         )
 
-    def chosen(self, turns, count=20, **fields):
+    def chosen(self, selector, count=20, **fields):
         found = set()
         for _ in range(count):
-            with turns.select('f', ('lookup',), ()) as server:
+            with selector.select('f', ('lookup',), ()) as server:
                 found.add(server.name)
         return found
 
-    def test_other_requests_go_to_all_servers(self, turns):
-        assert len(self.chosen(turns)) > 1
+    def test_other_requests_go_to_all_servers(self, selector):
+        assert len(self.chosen(selector)) > 1
 
-    def test_suspects_go_to_one_server(self, turns, record):
+    def test_suspects_go_to_one_server(self, selector, record):
         crash(record, 2)
-        assert len(self.chosen(turns)) == 1
+        assert len(self.chosen(selector)) == 1
 
-    def test_suspects_run_one_at_a_time(self, turns, record):
+    def test_suspects_run_one_at_a_time(self, selector, record):
         """Guards against blaming a suspect for the crash of another."""
         crash(record, 2)
         crash(record, 2, 'g')
-        with turns.select('f', ('lookup',), ()):
+        with selector.select('f', ('lookup',), ()):
             with pytest.raises(errors.RefusalError) as raised:
-                with turns.select('g', ('lookup',), ()):
+                with selector.select('g', ('lookup',), ()):
                     pass
         assert raised.value.kind is errors.ErrorKind.QUEUE_FULL
-        with turns.select('g', ('lookup',), ()):
+        with selector.select('g', ('lookup',), ()):
             pass
 
     def test_a_request_that_crashed_three_servers_is_refused(
-        self, turns, record
+        self, selector, record
     ):
         """Guards against a request that crashes server after server."""
         crash(record, 3)
         with pytest.raises(errors.RefusalError) as raised:
-            self.chosen(turns)
+            self.chosen(selector)
         assert raised.value.kind is errors.ErrorKind.CRASHES_BACKEND_SERVERS
 
-    def test_is_refused_without_any_server(self, turns):
+    def test_is_refused_without_any_server(self, selector):
         with pytest.raises(errors.RefusalError) as raised:
-            with turns.select('f', ('other',), ()):
+            with selector.select('f', ('other',), ()):
                 pass
         assert raised.value.kind is errors.ErrorKind.NO_BACKEND_SERVER
--- a/tests/test_unlisted_servers.py
+++ b/tests/test_unlisted_servers.py
@@ -43,7 +43,7 @@
     def test_no_server_is_retained_without_an_outage(self, unlisted):
         unlisted.record_read()
         unlisted.add(A, 100.0)
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         assert unlisted.retained('lookup') == ()
 
     def test_ends_before_contact_if_entries_survived(self, unlisted, clock):
@@ -55,7 +55,7 @@
         asked_at_s = fail_reads(unlisted, clock)
         unlisted.record_read()
         unlisted.add(A, 100.0)
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         assert unlisted.retained('lookup') == (A,)
         assert unlisted.retained('other') == ()
         clock.now_s = asked_at_s + CONTACT_S - 0.2
@@ -69,7 +69,7 @@
         clock.now_s += 2.0
         unlisted.record_read()
         unlisted.add(A, 100.0)
-        unlisted.decide(has_survivors=False)
+        unlisted.set_retention(has_survivors=False)
         clock.now_s += 2.4
         assert unlisted.retained('lookup') == (A,)
         clock.now_s += 0.2
@@ -80,16 +80,16 @@
         unlisted.record_read_failure(99.9)
         unlisted.record_read()
         unlisted.add(A, 98.0)
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         assert unlisted.retained('lookup') == ()
 
     def test_no_server_is_retained_if_unlisted_later(self, unlisted, clock):
         fail_reads(unlisted, clock)
         unlisted.record_read()
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         unlisted.record_read()
         unlisted.add(A, clock.now_s)
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         assert unlisted.retained('lookup') == ()
 
     def test_a_server_that_is_listed_again_is_dropped(self, unlisted, clock):
@@ -97,7 +97,7 @@
         unlisted.record_read()
         unlisted.add(A, 100.0)
         unlisted.discard('a')
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         assert not unlisted
         assert unlisted.get('a') is None
 
@@ -108,7 +108,7 @@
         fail_reads(unlisted, clock)
         unlisted.record_read()
         unlisted.add(A, 100.0)
-        unlisted.decide(has_survivors=False)
+        unlisted.set_retention(has_survivors=False)
         clock.now_s += 1.0
         return unlisted
 
@@ -120,7 +120,7 @@
         """Guards against a time that starts again with each outage."""
         last_s = fail_reads(retained, clock, length_s=30.0)
         retained.record_read()
-        retained.decide(has_survivors=True)
+        retained.set_retention(has_survivors=True)
         clock.now_s = last_s + 0.4
         assert retained.retained('lookup') == (A,)
         clock.now_s = last_s + 1.6
@@ -140,7 +140,7 @@
         The list was not read for a while, so that its removal shows late.
         """
         unlisted.add(A, 99.0)
-        unlisted.decide(has_survivors=True)
+        unlisted.set_retention(has_survivors=True)
         assert unlisted.last_resort('lookup') == (A,)
         clock.now_s += 0.6
         assert unlisted.last_resort('lookup') == ()
