--- a/lacewingpitch/engine_controller.py
+++ b/lacewingpitch/engine_controller.py
@@ -261,9 +261,11 @@
         try:
             result = await self.view.load_model(model)
         except errors.PlatformError as error:
-            log.warning('model not ordered', model=model, error=str(error))
+            log.warning(
+                'model load order failed', model=model, error=str(error)
+            )
             return
-        log.info('model ordered', model=model, result=result.name)
+        log.info('model load ordered', model=model, result=result.name)
         if result is engine_orders.OrderResult.OTHER_INCARNATION:
             # The engine restarted between two reports and had accepted no
             # order before, so that its order count didn't show the restart.
@@ -407,10 +409,10 @@
     def _slot_name(self, key: str, version: int) -> str:
         """Return the slot name of an adapter held by the engine."""
         model, _, adapter = key.partition('/')
-        wanted = self._versions.required_version(model, adapter)
-        if version < wanted:
-            wanted = 0
-        return adapter_versions.slot_name(model, adapter, wanted)
+        required = self._versions.required_version(model, adapter)
+        if version < required:
+            required = 0
+        return adapter_versions.slot_name(model, adapter, required)
 
 
 def _expected_adapter_wait_s(
--- a/lacewingpitch/engine_view.py
+++ b/lacewingpitch/engine_view.py
@@ -153,8 +153,10 @@
         The requester and this process may each know of a newer version
         than the other.
         """
-        wanted = max(version, self._versions.required_version(model, adapter))
-        return adapter_versions.slot_name(model, adapter, wanted)
+        required = max(
+            version, self._versions.required_version(model, adapter)
+        )
+        return adapter_versions.slot_name(model, adapter, required)
 
     def held_version(self, slot_name: str) -> int:
         """Return the version held under a slot name; 0 if unknown."""
@@ -182,7 +184,7 @@
     def attach(self, incarnation: str, started_at_ms: int = 0) -> None:
         """Start over with a new start of the engine.
 
-        Its counts and fencing tokens begin anew, even under the same name.
+        Its counts and fencing tokens start again, even under the same name.
         """
         self.backend_server = incarnation
         self.started_at_ms = started_at_ms
@@ -283,7 +285,7 @@
                 log.info('adapter unloaded', adapter=name)
                 return
             await self._prepare_retry(result)
-        raise errors.PlatformError(f'unloading {name}: {result.name}')
+        raise errors.PlatformError(f'unloading {name} failed: {result.name}')
 
     async def _order_load(
         self, order: engine_orders.LoadOrder, version: int, incarnation: str
@@ -344,7 +346,9 @@
         if result is engine_orders.OrderResult.BUSY:
             await asyncio.sleep(_ORDER_RETRY_DELAY_S)
             return
-        raise errors.PlatformError(f'order answered {result.name}')
+        raise errors.PlatformError(
+            f'the engine refused the order: {result.name}'
+        )
 
     async def _wait_until_held(self, name: str, start: int) -> None:
         # A report that was requested before the order may show the adapter
--- a/lacewingpitch/turn_client.py
+++ b/lacewingpitch/turn_client.py
@@ -207,7 +207,7 @@
                 server, spec, _Replies(), is_isolated=True
             )
         except errors.NoReplyError as error:
-            self._record_silence(server, spec, error)
+            self._record_unresponsive(server, spec, error)
             raise _earliest_retry([]) from error
 
     def _acceptable_wait_s(self, spec: turn_spec.TurnSpec) -> float:
@@ -245,7 +245,7 @@
                 server, spec, replies, accept_within_s=accept_within_s
             )
         except errors.NoReplyError as error:
-            self._record_silence(server, spec, error)
+            self._record_unresponsive(server, spec, error)
             if replies.fallback is None:
                 replies.fallback = turn_candidates.unconfirmed_turn(
                     server, spec
@@ -275,10 +275,10 @@
                 server, spec, _Replies(), waits_for_engine=True
             )
         except errors.NoReplyError as error:
-            self._record_silence(server, spec, error)
+            self._record_unresponsive(server, spec, error)
             raise _earliest_retry([]) from error
 
-    def _record_silence(
+    def _record_unresponsive(
         self,
         server: backend_list.BackendServer,
         spec: turn_spec.TurnSpec,
--- a/tests/test_organisation_fairness.py
+++ b/tests/test_organisation_fairness.py
@@ -46,7 +46,7 @@
 
 
 class Scene:
-    """The turn granter of one engine, and callers who retry as told."""
+    """The turn granter of one engine, and callers that retry as advised."""
 
     def __init__(self):
         clock = virtual_time.LoopClock()
--- a/tests/test_wait_estimator.py
+++ b/tests/test_wait_estimator.py
@@ -80,7 +80,7 @@
 
 
 class TestUnderLoad:
-    """More adapters are wanted than an engine holds."""
+    """More adapters are required than an engine holds."""
 
     REQUEST_COUNT = 400
 
