--- a/lacewingpitch/engine_view.py
+++ b/lacewingpitch/engine_view.py
@@ -341,7 +341,7 @@
     async def _prepare_retry(self, result: engine_orders.OrderResult) -> None:
         if result is engine_orders.OrderResult.FENCED:
             self._fence.raise_token()
-            log.info('fencing number raised', number=self._fence.token)
+            log.info('fencing token raised', number=self._fence.token)
             return
         if result is engine_orders.OrderResult.BUSY:
             await asyncio.sleep(_ORDER_RETRY_DELAY_S)
