--- a/tests/test_contracts_partition.py
+++ b/tests/test_contracts_partition.py
@@ -1,4 +1,4 @@
-"""Contracts in force while both sides of a split fleet serve."""
+"""Contracts in force while both sides of a partitioned fleet serve."""
 
 import asyncio
 import contextlib
@@ -20,11 +20,11 @@
 LEFT, RIGHT = 0, 1
 CUSTOMERS = ('haneul', 'caravan')
 ADAPTER = 'ficus'
-# The bound that the page of contracts states.
+# Stated bound for a change to come into force.
 IN_FORCE_S = 5.0
 REVOKED = 403
-# What a revoked contract counts as, above every version.
-GONE = 1 << 30
+# Stands for a revoked contract; above every version.
+REVOKED_VERSION = 1 << 30
 
 
 @pytest.fixture
@@ -49,10 +49,10 @@
 
 
 async def change(sides, side, customer, **fields):
-    """Publish the next revision of a contract, on one side alone.
+    """Publish the next revision of a contract on one side only.
 
-    The revision is also the version of its adapter, so that the answer
-    to a request shows under which contract it ran.
+    The revision is also the version of its adapter, so that the answer to
+    a request shows under which contract it ran.
     """
     found = sides.deployment
     old = found.contracts[customer]
@@ -69,13 +69,13 @@
 
 
 async def in_force(deployment, entry, customer):
-    """Return the version in an entry's book, as its caller sees it."""
+    """Return the version in force at an entry, as callers see it."""
     headers = {'Authorization': f'Bearer {deployment.keys[customer]}'}
     async with deployment.session.get(
         entry.url + '/v1/models', headers=headers
     ) as response:
         if response.status == REVOKED:
-            return GONE
+            return REVOKED_VERSION
         if response.status != 200:
             return None
         (model,) = (await response.json())['data']
@@ -83,7 +83,7 @@
 
 
 async def until_in_force(deployment, entries, customer, version):
-    """Wait until a version is in force; return how long it took."""
+    """Wait until a version is in force at entries; return the time."""
     started_s = time.monotonic()
     for entry in entries:
 
@@ -114,8 +114,8 @@
     return [run.adapter for run in truth.runs]
 
 
-async def serve(sides, versions):
-    """Call through every entry; a side's engine runs its own version."""
+async def check_served_versions(sides, versions):
+    """Call every entry, and check which version each side's engine ran."""
     deployment = sides.deployment
     before = [await runs(deployment, side) for side in (LEFT, RIGHT)]
     for side in (LEFT, RIGHT):
@@ -126,8 +126,8 @@
         assert set(ran[len(before[side]) :]) == {f'{ADAPTER}@{version}'}
 
 
-class Watch:
-    """Reads from every entry, over and over, what is in force there."""
+class ContractMonitor:
+    """Repeatedly reads the versions in force from every entry."""
 
     def __init__(self, deployment):
         self._deployment = deployment
@@ -146,24 +146,24 @@
             self.seen.setdefault((entry, customer), []).append(found)
 
     def check(self):
-        """Check that no entry went back, ever."""
+        """Check that no entry ever returned to a lower version."""
         assert self.seen
         for seen in self.seen.values():
             assert seen == sorted(seen)
 
 
 @contextlib.asynccontextmanager
-async def watched(deployment):
-    """Hold that nothing reverts meanwhile."""
-    watch = Watch(deployment)
-    watching = asyncio.create_task(watch.run())
+async def checked_for_reversion(deployment):
+    """Check that no version reverts while the context is open."""
+    monitor = ContractMonitor(deployment)
+    task = asyncio.create_task(monitor.run())
     try:
         yield
-        if watching.done():
-            watching.result()
-        watch.check()
+        if task.done():
+            task.result()
+        monitor.check()
     finally:
-        watching.cancel()
+        task.cancel()
 
 
 class TestBothSidesServing:
@@ -173,15 +173,15 @@
     @pytest.mark.proves(Promise.CONTRACTS, Fault.SAME_TWICE, Step.ANY)
     @pytest.mark.parametrize('how', ['cut', 'half-open'])
     async def test_each_change_wins_everywhere(self, deployment, sides, how):
-        """A change of before the links healed is lost, or comes and goes.
+        """Guards against changes that are lost or reverted after a heal.
 
-        Each side of a split fleet accepts a change of another customer,
-        one of them twice in a row; the links heal, and each side's
-        service goes on showing the other's old contract.  The cause
-        would be that the last one read wins.
+        Each side of a partitioned fleet accepts a change of another
+        customer, one of them twice in a row; the links heal, and each
+        side's configuration service still has the other's old contract.
+        The last one read must not win.
         """
-        everyone = deployment.entries
-        async with watched(deployment):
+        all_entries = deployment.entries
+        async with checked_for_reversion(deployment):
             await sides.split(how)
             await sides.publish(live_list.InstanceState.LEAVING)
             await change(sides, LEFT, 'haneul')
@@ -196,17 +196,17 @@
                 )
                 for entry in sides.entries(1 - side):
                     assert await in_force(deployment, entry, customer) == 1
-            await serve(sides, (3, 1))
+            await check_served_versions(sides, (3, 1))
             await sides.heal()
-            await until_in_force(deployment, everyone, 'haneul', 3)
-            await until_in_force(deployment, everyone, 'caravan', 2)
-            # The services are read again, each with an old contract.
+            await until_in_force(deployment, all_entries, 'haneul', 3)
+            await until_in_force(deployment, all_entries, 'caravan', 2)
+            # The services are read again, and each has an old contract.
             await change(sides, RIGHT, 'caravan')
-            await until_in_force(deployment, everyone, 'caravan', 3)
+            await until_in_force(deployment, all_entries, 'caravan', 3)
             await change(sides, LEFT, 'haneul')
-            await until_in_force(deployment, everyone, 'haneul', 4)
+            await until_in_force(deployment, all_entries, 'haneul', 4)
             await sides.publish(live_list.InstanceState.LIVE)
-            for entry in everyone:
+            for entry in all_entries:
                 assert await call(deployment, entry, 'haneul') == 200
         for number in (LEFT, RIGHT):
             ran = await runs(deployment, number)
@@ -214,11 +214,14 @@
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.CONFIG_DOWN, Step.ANY)
     @pytest.mark.proves(Promise.CONTRACTS, Fault.TWO_FAULTS, Step.ANY)
-    async def test_cut_side_says_how_old_its_view_is(self, deployment, sides):
-        """An operator cannot tell that one side has an old contract.
+    async def test_isolated_side_reports_the_age_of_its_view(
+        self, deployment, sides
+    ):
+        """Guards against an old contract that operators can't detect.
 
-        The fleet splits while the service is down on one side: its view
-        is as old as the split, and is to say so until the links heal.
+        The fleet is partitioned while the configuration service is down on
+        one side.  That side's view is as old as the partition, and its
+        status must show that until the links heal.
         """
         await deployment.set_faults(sides.platforms[RIGHT], config_down=True)
         await sides.split('cut')
@@ -246,11 +249,11 @@
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.HALF_OPEN, Step.ANY)
     async def test_one_way_links_bring_changes(self, deployment, sides):
-        """A change waits for links that lose replies alone.
+        """Guards against changes delayed by links that only lose replies.
 
-        Every link passes what is sent and holds what comes back.
+        Every link delivers messages and holds back their replies.
         """
-        async with watched(deployment):
+        async with checked_for_reversion(deployment):
             await sides.split('one-way')
             await change(sides, LEFT, 'haneul')
             await until_in_force(deployment, deployment.entries, 'haneul', 2)
@@ -267,15 +270,17 @@
     async def test_entry_restarted_on_the_cut_side(
         self, deployment, sides, replaced
     ):
-        """A revoked customer is served on the cut side of a fleet.
+        """Guards against a revoked customer served by a restarted entry.
 
-        The service of that side is stale from before the revocation,
-        which came by peers; the fleet splits, and one entry of the side
-        or all of them are replaced.  The cause would be a new instance
-        that trusts what it reads.
+        The configuration service of one side has a state from before the
+        revocation, which came from peers.  The fleet is partitioned, and
+        one entry of that side or all of them are replaced.  A new instance
+        must not rely on the service alone.
         """
         await change(sides, LEFT, 'haneul', revoked=True)
-        await until_in_force(deployment, deployment.entries, 'haneul', GONE)
+        await until_in_force(
+            deployment, deployment.entries, 'haneul', REVOKED_VERSION
+        )
         await deployment.until_known(deployment.sidecars[RIGHT], 'haneul', 2)
         await sides.split('cut')
         await sides.publish(live_list.InstanceState.LEAVING)
@@ -287,8 +292,10 @@
         await sides.publish(live_list.InstanceState.LEAVING)
         for entry in restarted:
             await deployment.ready(entry)
-            # No sidecar is asked for the models, so the entry must know.
-            assert await in_force(deployment, entry, 'haneul') == GONE
+            # Listing models asks no sidecar, so the entry itself must know.
+            assert (
+                await in_force(deployment, entry, 'haneul') == REVOKED_VERSION
+            )
             assert await call(deployment, entry, 'haneul') == REVOKED
             assert await call(deployment, entry, 'caravan') == 200
         assert await runs(deployment, RIGHT) == [f'{ADAPTER}@1'] * replaced
--- a/tests/test_contracts_processes.py
+++ b/tests/test_contracts_processes.py
@@ -71,11 +71,11 @@
         Promise.CONTRACTS, Fault.CONFIG_STALE, Step.BEFORE_ADMISSION
     )
     async def test_restarted_entry_asks_peers(self, deployment):
-        """A revoked customer is served again after an entry restarts.
+        """Guards against a revoked customer served after an entry restarts.
 
-        The contract is revoked and in force; then the service falls back
-        to the state before and stays there, and an entry is replaced.
-        The cause would be a new instance that trusts the service alone.
+        The contract is revoked everywhere; then the configuration service
+        returns to its state before and stays there, and an entry is
+        replaced.  A new instance must not rely on the service alone.
         """
         assert (await call(deployment, deployment.entries[0]))[0] == 200
         await revoke(deployment)
@@ -89,14 +89,14 @@
         restarted = await deployment.add_entry()
         await deployment.publish_instances()
         await deployment.ready(restarted)
-        # No sidecar is asked for the models, so the entry must know.
+        # Listing models asks no sidecar, so the entry itself must know.
         assert await models_status(deployment, restarted) == 403
         assert await call(deployment, restarted) == REVOKED
         assert await run_count(deployment) == before
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.KILLED, Step.BEFORE_ADMISSION)
-    async def test_sidecar_alone_remembers(self, deployment):
-        """As above, but every entry instance is replaced at once."""
+    async def test_sidecar_alone_knows_the_revocation(self, deployment):
+        """Guards against the same when all entries are replaced at once."""
         await revoke(deployment)
         await deployment.until_known(deployment.sidecars[0], 'haneul', 2)
         await deployment.set_faults(
@@ -116,10 +116,10 @@
     async def test_change_reaches_an_entry_without_the_service(
         self, deployment
     ):
-        """A change never arrives where the service cannot be reached.
+        """Guards against changes that need the configuration service.
 
-        One entry's service is down from its start.  The cause would be
-        an instance that learns of contracts from the service alone.
+        The service of one entry is down from the entry's start.  The entry
+        must get the change from its peers.
         """
         down = await deployment.run('standin', 'platform')
         await deployment.set_faults(down, config_down=True)
@@ -138,11 +138,11 @@
 class TestPaused:
     @pytest.mark.proves(Promise.CONTRACTS, Fault.FROZEN, Step.BEFORE_ADMISSION)
     async def test_woken_entry_serves_no_revoked_customer(self, deployment):
-        """A revoked customer is served through an instance that slept.
+        """Guards against a revoked customer served by a resumed entry.
 
-        One entry is frozen, the contract is revoked, the entry wakes up
-        with a request already waiting for it.  The cause would be that
-        nobody on the request's way knows the newer revision.
+        One entry is paused, the contract is revoked, and the entry resumes
+        with a request already waiting for it.  Another process on the
+        request's path must know the newer revision.
         """
         paused = deployment.entries[1]
         paused.freeze()
