--- a/lacewingpitch/customer_limits.py
+++ b/lacewingpitch/customer_limits.py
@@ -100,6 +100,19 @@
 
 @dataclasses.dataclass(slots=True)
 class _Customer:
+    """A customer with recent requests, and the queue of its requests.
+
+    Parameters
+    ----------
+    list_version
+        Version of the entry list by which `owner` was found.
+    owner
+        Owner of the customer's limits; ``None`` if it is this instance.
+    pending, pending_slots, pending_tokens
+        Requests that wait for the owner's reply, those among them that need
+        a slot, and tokens of all of them.
+    """
+
     leased: leased_limit.LeasedLimit
     contract: contract_module.Contract
     list_version: int
@@ -432,16 +445,16 @@
                 _wake_waiters(customer)
             return ()
         state.unresponsive_until_s = 0.0
-        parts = reply.by_customer([c.contract.customer for c in customers])
+        grants = reply.by_customer([c.contract.customer for c in customers])
         moved = {found.customer for found in reply.moved}
         for customer in customers:
-            part = parts.get(customer.contract.customer)
+            grant = grants.get(customer.contract.customer)
             if customer.contract.customer in moved:
                 customer.leased.cancel_ask()
-            elif part is None:
+            elif grant is None:
                 customer.leased.mark_unreachable()
             else:
-                customer.leased.apply(part, asked_s)
+                customer.leased.apply(grant, asked_s)
             _wake_waiters(customer)
         return reply.moved
 
@@ -474,9 +487,9 @@
 
 
 def _resolve(futures: list[asyncio.Future[None]]) -> None:
-    for slot in futures:
-        if not slot.done():
-            slot.set_result(None)
+    for future in futures:
+        if not future.done():
+            future.set_result(None)
 
 
 def _wake_waiters(customer: _Customer) -> None:
--- a/lacewingpitch/leased_limit.py
+++ b/lacewingpitch/leased_limit.py
@@ -9,7 +9,7 @@
 
 # Weight of the last renewal interval in the moving averages of the demand.
 _DEMAND_SMOOTHING = 0.5
-# Leased in addition to the expected demand.
+# Leased in addition to the expected demand, relative to it.
 _HEADROOM_RATIO = 0.25
 # Time for which an owner counts as unreachable after it didn't answer.
 _UNREACHABLE_S = 3.0
@@ -354,7 +354,7 @@
             self._commits_to_renew,
         )
 
-    def apply(self, part: limit_lease.LeaseGrant, asked_s: float) -> None:
+    def apply(self, grant: limit_lease.LeaseGrant, asked_s: float) -> None:
         """Apply a grant; the lease runs from `asked_s`."""
         now_s = self._clock.monotonic_s()
         asked_running, self._pending_running = self._pending_running, None
@@ -366,15 +366,15 @@
         self._expires_at_s = asked_s + limit_lease.lease_duration_s(
             self._commits_to_renew
         )
-        self._requests += part.requests
-        self._tokens += part.tokens
-        self._running_allowed = part.running
-        self._waiting_allowed = part.waiting
-        self._ask_after_s = now_s + part.retry_after_s
+        self._requests += grant.requests
+        self._tokens += grant.tokens
+        self._running_allowed = grant.running
+        self._waiting_allowed = grant.waiting
+        self._ask_after_s = now_s + grant.retry_after_s
         # Asking again at once is useless only if both the slots to run and
         # those to wait are short.
-        is_short = part.running < (asked_running or 0)
-        if is_short and part.waiting < self._pending_waiting:
+        is_short = grant.running < (asked_running or 0)
+        if is_short and grant.waiting < self._pending_waiting:
             self._ask_slots_after_s = now_s + _SLOTS_RETRY_S
         self._unreachable_until_s = 0.0
 
@@ -385,7 +385,7 @@
         self._unreachable_until_s = now_s + _UNREACHABLE_S
 
     def cancel_ask(self) -> None:
-        """Undo the last `want`, which got no grant."""
+        """Record that the last `want` got no grant."""
         self._pending_running = None
         # What the message returned stays deducted here, and is lost if the
         # owner didn't receive it.  A debt must not be lost, or broken links
--- a/lacewingpitch/limit_lease.py
+++ b/lacewingpitch/limit_lease.py
@@ -195,6 +195,8 @@
 
 @dataclasses.dataclass(slots=True)
 class _HolderLease:
+    """The owner's record of the last lease of one holder."""
+
     running: int
     waiting: int
     expires_s: float
@@ -204,6 +206,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Handover:
+    """The owner's record of limits handed over to another instance."""
+
     to: live_list.Instance
     list_version: int
     until_s: float
--- a/lacewingpitch/limit_ownership.py
+++ b/lacewingpitch/limit_ownership.py
@@ -13,6 +13,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _EntryList:
+    """The live entry instances from `valid_from_s` on."""
+
     valid_from_s: float
     entries: tuple[live_list.Instance, ...]
     names: frozenset[str]
@@ -26,6 +28,9 @@
     instance list agree on it.  While the list of some instance is out of
     date, two instances may both be owners by their own lists.
 
+    `version` rises with each change of the live entry instances; `revision`
+    is that of the last published list.
+
     Parameters
     ----------
     clock
