--- a/lacewingpitch/contract_files.py
+++ b/lacewingpitch/contract_files.py
@@ -49,7 +49,7 @@
         if isinstance(item.content, contract_module.Contract)
     ]
     if not found:
-        raise errors.SettingsError(f'{path}: holds no contract')
+        raise errors.SettingsError(f'{path}: contains no contract')
     return tuple(sorted(found, key=lambda contract: contract.customer))
 
 
--- a/lacewingpitch/contract_gossip.py
+++ b/lacewingpitch/contract_gossip.py
@@ -35,7 +35,7 @@
 _CATCH_UP_PEERS = 3
 _LEAVES_PER_MESSAGE = 16
 _CONTRACTS_PER_MESSAGE = 64
-_REPLY_BYTES = 1 << 19
+_MAX_REPLY_BYTES = 1 << 19
 _WATCHER_ELECTION_KEY = 'contract watchers'
 log = structlog.get_logger(__name__)
 
@@ -595,7 +595,7 @@
     size_bytes = 0
     for data in contracts:
         size_bytes += len(data)
-        if selected and size_bytes > _REPLY_BYTES:
+        if selected and size_bytes > _MAX_REPLY_BYTES:
             break
         selected.append(data)
     return tuple(selected)
--- a/lacewingpitch/limit_lease.py
+++ b/lacewingpitch/limit_lease.py
@@ -262,12 +262,12 @@
             tuple(
                 HolderSlots(
                     name,
-                    held.running,
-                    held.waiting,
-                    held.expires_s - now_s,
-                    held.renews,
+                    lease.running,
+                    lease.waiting,
+                    lease.expires_s - now_s,
+                    lease.renews,
                 )
-                for name, held in self.holders.items()
+                for name, lease in self.holders.items()
             ),
         )
 
@@ -291,15 +291,15 @@
         # share is reserved here, or both sides together would exceed the
         # contract.
         return sum(
-            name != holder and held.expires_s <= now_s
-            for name, held in self.holders.items()
+            name != holder and lease.expires_s <= now_s
+            for name, lease in self.holders.items()
         )
 
     def demand_ratio(self, holder: str, want: LeaseWant) -> float:
         """Return this holder's part of the demand of all holders."""
         others = sum(
-            held.wanted_requests
-            for name, held in self.holders.items()
+            lease.wanted_requests
+            for name, lease in self.holders.items()
             if name != holder
         )
         return want.requests / max(1.0, want.requests + others)
@@ -314,12 +314,12 @@
     ) -> _HolderLease:
         running_free = limits.concurrent_requests
         waiting_free = limits.queued_requests
-        for name, held in self.holders.items():
+        for name, lease in self.holders.items():
             if name == holder:
                 continue
-            if held.expires_s > now_s:
-                running_free -= held.running
-                waiting_free -= held.waiting
+            if lease.expires_s > now_s:
+                running_free -= lease.running
+                waiting_free -= lease.waiting
             else:
                 running_free -= unleased_share(
                     limits.concurrent_requests, entry_count
@@ -337,15 +337,15 @@
             waiting_limit = unleased_share(limits.queued_requests, entry_count)
             running_free = min(running_free, running_limit)
             waiting_free = min(waiting_free, waiting_limit)
-        held = _HolderLease(
+        lease = _HolderLease(
             max(want.running_used, min(want.running, running_free)),
             max(want.waiting_used, min(want.waiting, waiting_free)),
             now_s + lease_duration_s(want.renews),
             want.renews,
             want.requests,
         )
-        self.holders[holder] = held
-        return held
+        self.holders[holder] = lease
+        return lease
 
     def retry_after_s(
         self,
@@ -524,8 +524,8 @@
                 self._owned.pop(customer, None)
             if owned is not None:
                 states.append(owned.handover_state(customer, now_s))
-            # While the instance list lags here, it still names this
-            # instance as the owner.  Two owners would lease the limit
+            # While the instance list here is out of date, it still names
+            # this instance as the owner.  Two owners would lease the limit
             # twice.
             self._handovers[customer] = _Handover(
                 message.owner,
@@ -562,8 +562,8 @@
 
     def _is_stale(self, customer: str, now_s: float) -> bool:
         owned = self._owned[customer]
-        held = owned.holders.values()
-        if any(holder.expires_s > now_s for holder in held):
+        leases = owned.holders.values()
+        if any(lease.expires_s > now_s for lease in leases):
             return False
         return not self._is_owner(customer, now_s)
 
@@ -615,13 +615,13 @@
         tokens = math.floor(tokens)
         owned.requests.add(-requests, now_s)
         owned.tokens.add(-tokens, now_s)
-        held = owned.lease_slots(holder, want, limits, entry_count, now_s)
+        lease = owned.lease_slots(holder, want, limits, entry_count, now_s)
         return LeaseGrant(
             want.customer,
             requests,
             tokens,
-            held.running,
-            held.waiting,
+            lease.running,
+            lease.waiting,
             owned.retry_after_s(want, requests, tokens, now_s),
         )
 
@@ -644,10 +644,10 @@
         return found
 
     def _drop_expired(self, owned: _OwnedLimit, now_s: float) -> None:
-        for name, held in list(owned.holders.items()):
-            if held.expires_s > now_s:
+        for name, lease in list(owned.holders.items()):
+            if lease.expires_s > now_s:
                 continue
-            if not held.renews or not self._ownership.is_listed(name):
+            if not lease.renews or not self._ownership.is_listed(name):
                 del owned.holders[name]
 
 
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -243,16 +243,16 @@
         Leaving the queue isn't enough: the slot must be released, too.
         """
         limits = others(entries)[0].limits
-        held = [limits.admit(entries.contract, 1) for _ in range(SLOTS)]
-        for slot in held:
+        admitted = [limits.admit(entries.contract, 1) for _ in range(SLOTS)]
+        for slot in admitted:
             await slot.__aenter__()
         entry = others(entries)[0]
         waiting = asyncio.create_task(call(entry, entries.contract))
         await asyncio.sleep(0.05)
-        await held[0].__aexit__(None, None, None)
+        await admitted[0].__aexit__(None, None, None)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        for slot in held[1:]:
+        for slot in admitted[1:]:
             await slot.__aexit__(None, None, None)
         assert limits._customers[CUSTOMER].leased.running == 0
 
--- a/tests/test_customer_limits_processes.py
+++ b/tests/test_customer_limits_processes.py
@@ -249,9 +249,9 @@
         before = await callers.run(until_limited=True)
         assert before.total >= LARGE_BURST
         await deployment.entries[owner].kill()
-        silent = await SteadyCallers(deployment, rest, 3.0, LARGE).run()
-        shares = 2 / 3 * (LARGE_BURST + RATE_PER_S * silent.elapsed_s)
-        assert 0.5 * shares <= silent.total <= shares + RATE_PER_S
+        without_owner = await SteadyCallers(deployment, rest, 3.0, LARGE).run()
+        shares = 2 / 3 * (LARGE_BURST + RATE_PER_S * without_owner.elapsed_s)
+        assert 0.5 * shares <= without_owner.total <= shares + RATE_PER_S
         listed_s = time.monotonic()
         deployment.instances = instances_without(deployment, owner)
         await deployment.publish_instances()
@@ -260,7 +260,7 @@
         after = await SteadyCallers(deployment, rest, 2.0, LARGE).run()
         rate = RATE_PER_S * (time.monotonic() - listed_s)
         assert 0.4 * rate <= after.total <= LARGE_BURST / 2 + rate + 3
-        total = before.total + silent.total + after.total
+        total = before.total + without_owner.total + after.total
         assert total == await runs(deployment)
 
     @pytest.mark.proves(Promise.LIMITS, Fault.FROZEN, Step.BEFORE_ADMISSION)
@@ -299,23 +299,29 @@
             await deployment.publish_instances()
             await until_leasing(deployment, owner_number(LARGE, rest), LARGE)
             # Its own lease expires meanwhile.
-            asleep = await SteadyCallers(
+            during_pause = await SteadyCallers(
                 deployment, rest, limit_lease.LEASE_DURATION_S + 0.5, LARGE
             ).run()
-            assert asleep.total >= 0.4 * RATE_PER_S * asleep.elapsed_s
-            woken_s = time.monotonic()
+            assert (
+                during_pause.total >= 0.4 * RATE_PER_S * during_pause.elapsed_s
+            )
+            resumed_s = time.monotonic()
             deployment.entries[owner].wake()
-            woken = await SteadyCallers(deployment, [owner], 1.0, LARGE).run()
-            share = (LARGE_BURST + RATE_PER_S * woken.elapsed_s) / 3
-            assert 0.5 * share <= woken.total <= share + 1
+            resumed = await SteadyCallers(
+                deployment, [owner], 1.0, LARGE
+            ).run()
+            share = (LARGE_BURST + RATE_PER_S * resumed.elapsed_s) / 3
+            assert 0.5 * share <= resumed.total <= share + 1
             # The new list reaches it; from now on there is one limit.
             await link.mend()
             listed = tuple(deployment.instances)
             await deployment.put(lagging, '/v1/instances', listed)
             after = await SteadyCallers(deployment, range(3), 3.0, LARGE).run()
-            most = RATE_PER_S * (time.monotonic() - woken_s) + share
-            assert woken.total + after.total <= most + RATE_PER_S / 2
-            total = before.total + asleep.total + woken.total + after.total
+            most = RATE_PER_S * (time.monotonic() - resumed_s) + share
+            assert resumed.total + after.total <= most + RATE_PER_S / 2
+            total = (
+                before.total + during_pause.total + resumed.total + after.total
+            )
             assert total == await runs(deployment)
 
 
--- a/tests/test_limit_lease.py
+++ b/tests/test_limit_lease.py
@@ -391,15 +391,15 @@
     def test_slots_of_leases_in_force_stay_within_the_limit(self, asks):
         scene = Scene()
         scene.run_for(60)
-        held = {}
+        leased = {}
         for holder, running, passed_s in asks:
             scene.run_for(passed_s)
             part = scene.lease(holder, running=running)
             expires_s = scene.clock.now_s + limit_lease.LONG_LEASE_DURATION_S
-            held[holder] = (part.running, expires_s)
+            leased[holder] = (part.running, expires_s)
             in_force = sum(
-                places
-                for places, until_s in held.values()
+                slots
+                for slots, until_s in leased.values()
                 if until_s > scene.clock.now_s
             )
             assert in_force <= SLOTS
