--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -160,11 +160,11 @@
             entry.apply_hint_header(
                 instance.name, make_hint(copy_wait_ms=30, copy_count=66)
             )
-        keeper = by_hash[3].name
-        entry.apply_listed_adapters(keeper, [self.KEY])
-        entry.apply_listed_adapters(keeper, [])
-        assert self.names(entry, instances)[0] == keeper
-        entry.reset_instance(keeper)
+        copy_holder = by_hash[3].name
+        entry.apply_listed_adapters(copy_holder, [self.KEY])
+        entry.apply_listed_adapters(copy_holder, [])
+        assert self.names(entry, instances)[0] == copy_holder
+        entry.reset_instance(copy_holder)
         assert self.names(entry, instances)[0] == by_hash[0].name
 
     def test_overflow_goes_to_the_same_engines_from_every_entry(
@@ -255,7 +255,7 @@
         entry = make_placement(clock)
         before = entry.ranked_instances('a@1', instances)
         entry.apply_hint_header(before[-1].name, make_hint('a@1'))
-        clock.now_s += placement.HINT_AGE_S + 1.0
+        clock.now_s += placement.HINT_MAX_AGE_S + 1.0
         assert entry.ranked_instances('a@1', instances) == before
 
     def test_avoids_full_slots_and_long_queues(self, clock, instances):
@@ -529,7 +529,7 @@
         if change == 'empty':
             entry.apply_hint_header(last.name, make_hint())
         elif change == 'too old':
-            clock.now_s += placement.HINT_AGE_S
+            clock.now_s += placement.HINT_MAX_AGE_S
         else:
             left = [i for i in instances if i != last]
         found = await entry.locate('a@1', left)
--- a/tests/test_request_forwarder.py
+++ b/tests/test_request_forwarder.py
@@ -452,7 +452,7 @@
         scene, _ = play(found, answer, model='m', limit_s=12.0)
         wanted = scene.turns.wanted[0]
         assert wanted.start_by_s < 3.2
-        assert wanted.until_s == pytest.approx(12.0)
+        assert wanted.deadline_at_s == pytest.approx(12.0)
 
     def test_a_turn_to_resume_is_useful_while_the_caller_waits(self):
         """Guards against cutting a stream although an engine is free.
