--- a/lacewingpitch/adapter_homes.py
+++ b/lacewingpitch/adapter_homes.py
@@ -109,12 +109,12 @@
         self, key: str, costs: placement_costs.PlacementCosts
     ) -> tuple[tuple[str, ...], float]:
         """Return the listed engines of the last assignment, and its age."""
-        known = self._assignments.get(key)
-        if known is None:
+        assignment = self._assignments.get(key)
+        if assignment is None:
             return (), math.inf
         listed = costs.column_by_name
-        names = tuple(name for name in known.names if name in listed)
-        return names, self._clock.monotonic_s() - known.received_at_s
+        names = tuple(name for name in assignment.names if name in listed)
+        return names, self._clock.monotonic_s() - assignment.received_at_s
 
     def _active_holders(
         self,
@@ -133,7 +133,7 @@
         # these, the home must be asked.
         active = costs.active()
         columns = costs.column_by_name
-        holders = self._holders.names(key)
+        holders = self._holders.holders(key)
         held = tuple(name for name in holders if columns.get(name) in active)
         return tuple(name for name in held if name in likely) or held
 
--- a/lacewingpitch/placement.py
+++ b/lacewingpitch/placement.py
@@ -20,7 +20,7 @@
 from lacewingpitch import settings as settings_module
 
 # Hints older than this are dropped.
-HINT_AGE_S = 30.0
+HINT_MAX_AGE_S = 30.0
 _DEMAND_HALF_LIFE_S = 30.0
 _NO_SPARE_SLOT_PENALTY_S = 8.0
 _FILL_COST_S = 0.2
@@ -87,7 +87,7 @@
         objective: settings_module.ObjectiveSettings | None = None,
         homes: directory.DirectoryLink | None = None,
         no_spare_slot_penalty_s: float = _NO_SPARE_SLOT_PENALTY_S,
-        load_max_age_s: float = HINT_AGE_S,
+        load_max_age_s: float = HINT_MAX_AGE_S,
         cached_copies: cached_copies_module.CachedCopies | None = None,
         instance: str = '',
     ) -> None:
@@ -152,8 +152,8 @@
         self, key: str, costs: placement_costs.PlacementCosts
     ) -> list[live_list.Instance]:
         active = costs.active()
-        holders = frozenset(costs.columns_of(self._holders.names(key)))
-        copies = costs.columns_of(self._holders.names_with_copy(key))
+        holders = frozenset(costs.columns_of(self._holders.holders(key)))
+        copies = costs.columns_of(self._holders.copy_holders(key))
         waits_s = costs.waits_s(holders, copies)
         by_hash = costs.columns_by_hash(key)
         if self._homes is None:
@@ -194,7 +194,7 @@
         self._drop_old_hints()
         self._demand.add(key)
         state.sent_since_hint += 1
-        state.loads_since_hint += instance not in self._holders.names(key)
+        state.loads_since_hint += instance not in self._holders.holders(key)
         state.in_progress_count += 1
         self._mark_stale(state)
         try:
@@ -282,7 +282,9 @@
         ):
             self._states[name].is_load_current = False
             self._mark_stale(self._states[name])
-        for name in self._pop_expired(self._hint_received_at_s, HINT_AGE_S):
+        for name in self._pop_expired(
+            self._hint_received_at_s, HINT_MAX_AGE_S
+        ):
             self._forget_hint(name, self._states[name])
             self._mark_stale(self._states[name])
 
@@ -304,7 +306,7 @@
     ) -> None:
         if state.hint is None:
             return
-        self._holders.forget_hint(instance, state.hint)
+        self._holders.revoke_hint(instance, state.hint)
         state.hint = None
 
     def _costs_for(
@@ -316,26 +318,26 @@
         # Keyed by identity, not by names: an instance of the same name
         # may be another process.  The cached costs keep the tuple
         # alive, so its id is not reused.
-        found = self._costs.get(id(fixed))
-        if found is None:
-            found = self._new_costs(fixed)
-        self._pools.set_active_count(found)
-        return found
+        costs = self._costs.get(id(fixed))
+        if costs is None:
+            costs = self._new_costs(fixed)
+        self._pools.set_active_count(costs)
+        return costs
 
     def _new_costs(
         self, instances: tuple[live_list.Instance, ...]
     ) -> placement_costs.PlacementCosts:
         if len(self._costs) >= _MAX_CACHED_COSTS:
             self._drop_costs()
-        found = placement_costs.PlacementCosts(
+        costs = placement_costs.PlacementCosts(
             instances,
             [self._state(instance.name) for instance in instances],
             self._pools.of(instances),
             self._fill_cost_s,
             self._no_spare_slot_penalty_s,
         )
-        self._costs[id(instances)] = found
-        return found
+        self._costs[id(instances)] = costs
+        return costs
 
     def _drop_costs(self) -> None:
         self._costs.clear()
