--- a/lacewingpitch/crash_record.py
+++ b/lacewingpitch/crash_record.py
@@ -176,7 +176,7 @@
         )
 
     def request_count(self, handling: Handling) -> int:
-        """Return how many requests have a handling."""
+        """Return how many requests have a given handling."""
         return sum(
             self._thresholds.handling(suspect.count) is handling
             for suspect in self._suspects.values()
--- a/lacewingpitch/departed_servers.py
+++ b/lacewingpitch/departed_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that have left, remembered across a store's restore."""
+"""Record of departed backend servers, for a store restored from a copy."""
 
 from collections.abc import Collection
 
--- a/lacewingpitch/retry_budget.py
+++ b/lacewingpitch/retry_budget.py
@@ -1,4 +1,4 @@
-"""Budgets that set_reserve retries to a share of the traffic."""
+"""Budgets that limit retries to a share of the traffic."""
 
 import random
 
