--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -310,7 +310,7 @@
 
 
 def _voters_of(key: str, index: voter.VoterIndex) -> voter.VoterSet:
-    return index.voters_of('customer', key, 'region-0')
+    return index.select_voters('customer', key, 'region-0')
 
 
 def measure_votes():
@@ -354,7 +354,7 @@
         list_age_s=lambda: 0.0,
         max_votes=len(asks),
     )
-    found.take_list(members)
+    found.apply_list(members)
     ahead.ahead_s = _AHEAD_S
     for ask in asks:
         assert found.vote(ask).verdict is voter.Verdict.GRANTED
@@ -371,7 +371,7 @@
     keys = [str(uuid.UUID(int=number + offset)) for number in made]
     found = []
     for key in keys:
-        voters = index.voters_of('customer-0001', key, 'region-0')
+        voters = index.select_voters('customer-0001', key, 'region-0')
         found.append(
             voter.VoteRequest(
                 customer='customer-0001',
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -63,7 +63,7 @@
         list_age_s=lambda: 0.0,
         max_votes=_VOTES,
     )
-    found.take_list(members)
+    found.apply_list(members)
     found_clock.ahead_s = _AHEAD_S
     return found
 
@@ -85,7 +85,7 @@
     """Print the memory of a vote in a table at its bound."""
     members = make_instances(1)
     found = make_voter(members)
-    voters = voter.voters_of('', '', 'region-a', members)
+    voters = voter.select_voters('', '', 'region-a', members)
     offset = int(1000 * _AHEAD_S) << 80
     tracemalloc.start()
     for _ in range(_VOTES):
@@ -108,7 +108,7 @@
         keys = [processes.new_key() for _ in range(_TIMED_KEYS)]
         started_s = time.process_time()
         for key in keys:
-            voter.voters_of('customer-0001', key, 'region-a', members)
+            voter.select_voters('customer-0001', key, 'region-a', members)
         took_s = (time.process_time() - started_s) / len(keys)
         print(f'voters of a key: {1e6 * took_s:.0f} us of {count} sidecars')
 
--- a/lacewingpitch/attempts.py
+++ b/lacewingpitch/attempts.py
@@ -196,7 +196,7 @@
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
         try:
-            async with self._runner.ready(order):
+            async with self._runner.prepare(order):
                 await self._runner.resume(order, delivery)
         except errors.RefusalError as error:
             # The adapter may be gone from an engine that restarted, and
@@ -229,7 +229,7 @@
                 )
                 left_s = start_by_s - self._node.clock.monotonic_s()
                 order = msgspec.structs.replace(order, deadline_s=left_s)
-                await held.enter_async_context(self._runner.ready(order))
+                await held.enter_async_context(self._runner.prepare(order))
                 await held.enter_async_context(place.turn())
         except TimeoutError as error:
             raise errors.RefusalError(
@@ -248,7 +248,7 @@
             self._settings.max_queued,
             fair_queue.FairQueue(
                 backend.max_running,
-                lambda order: self._runner.holds(order),
+                lambda order: self._runner.is_prepared(order),
                 self._node.clock,
             ),
             self._node.clock,
--- a/lacewingpitch/claim.py
+++ b/lacewingpitch/claim.py
@@ -121,7 +121,7 @@
         if instances is not self._indexed:
             self._indexed = instances
             self._index = voter_module.VoterIndex(instances)
-        return self._index.voters_of(
+        return self._index.select_voters(
             order.customer, order.idempotency_key, order.region
         )
 
--- a/lacewingpitch/engine_runner.py
+++ b/lacewingpitch/engine_runner.py
@@ -83,7 +83,7 @@
         """Stop polling, and cancel the loads in progress."""
         await self._exits.aclose()
 
-    def holds(self, order: work.WorkOrder) -> bool:
+    def is_prepared(self, order: work.WorkOrder) -> bool:
         """Whether the engine holds the request's adapter."""
         # This runs in the task of another request that has ended.
         # An order without an adapter, which is sent here by mistake, must
@@ -99,7 +99,7 @@
         return self._slots.expected_wait_s(order.adapter.engine_name)
 
     @contextlib.asynccontextmanager
-    async def ready(self, order: work.WorkOrder) -> AsyncIterator[None]:
+    async def prepare(self, order: work.WorkOrder) -> AsyncIterator[None]:
         """Hold the request's adapter while the context is open.
 
         Raises
--- a/lacewingpitch/response_format.py
+++ b/lacewingpitch/response_format.py
@@ -33,7 +33,9 @@
 
 def error_json(error: errors.RefusalError) -> bytes:
     """Return the JSON body of a refusal."""
-    return msgspec.json.encode(work.ErrorBody(error=work.refusal_of(error)))
+    return msgspec.json.encode(
+        work.ErrorBody(error=work.refusal_from_error(error))
+    )
 
 
 def error_event(error: errors.RefusalError) -> bytes:
--- a/lacewingpitch/runner.py
+++ b/lacewingpitch/runner.py
@@ -34,13 +34,13 @@
         """Detach from it."""
         ...
 
-    def ready(
+    def prepare(
         self, order: work.WorkOrder
     ) -> contextlib.AbstractAsyncContextManager[None]:
         """Hold whatever the request needs, such as its adapter."""
         ...
 
-    def holds(self, order: work.WorkOrder) -> bool:
+    def is_prepared(self, order: work.WorkOrder) -> bool:
         """Whether the request finds what it needs without a wait."""
         ...
 
--- a/lacewingpitch/runs.py
+++ b/lacewingpitch/runs.py
@@ -91,7 +91,7 @@
             await self._send(self.response.write_eof())
         self._timeout.close()
 
-    def tear(self) -> None:
+    def abort(self) -> None:
         """Break the connection, so that the body is seen not to be whole."""
         self.is_broken = True
         if self._request.transport is not None:
@@ -104,7 +104,7 @@
             with self._timeout:
                 await sending
         except TimeoutError:
-            self.tear()
+            self.abort()
         except (aiohttp.ClientError, OSError, RuntimeError):
             self.is_broken = True
 
--- a/lacewingpitch/service_runner.py
+++ b/lacewingpitch/service_runner.py
@@ -33,13 +33,13 @@
     ) -> None:
         """Detach."""
 
-    def ready(
+    def prepare(
         self, order: work.WorkOrder
     ) -> contextlib.AbstractAsyncContextManager[None]:
         """Hold nothing."""
         return contextlib.nullcontext()
 
-    def holds(self, order: work.WorkOrder) -> bool:
+    def is_prepared(self, order: work.WorkOrder) -> bool:
         """Return that nothing is missing."""
         return True
 
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -248,14 +248,14 @@
         # The head of an answer is out already: a second head behind it
         # would be read as a piece of the answer.  A connection that is
         # torn down tells the peer that the answer is not whole.
-        delivery.tear()
+        delivery.abort()
         return delivery.response
 
     async def _mark_leaving(
         self, _request: web.Request, response: web.StreamResponse
     ) -> None:
         if self._draining:
-            response.headers[work.LEAVING_HEADER] = work.LEAVES_BY_ITSELF
+            response.headers[work.LEAVING_HEADER] = work.LEAVING_UNLISTED
         elif self.is_leaving:
             revision = self._node.membership.revision
             response.headers[work.LEAVING_HEADER] = str(revision)
--- a/lacewingpitch/sidecar_link.py
+++ b/lacewingpitch/sidecar_link.py
@@ -329,7 +329,7 @@
             self._membership.mark_leaving(attempt.sidecar.name)
         if kind is errors.ErrorKind.CONTRACT_OUTDATED and self._on_outdated:
             await self._on_outdated(attempt.order.customer, attempt.sidecar)
-        raise work.error_of(body.error)
+        raise work.error_from_refusal(body.error)
 
     async def _post_and_ask(self, attempt: Attempt) -> aiohttp.ClientResponse:
         """Wait for the head of an answer, and ask where it stays.
--- a/lacewingpitch/voter.py
+++ b/lacewingpitch/voter.py
@@ -36,10 +36,10 @@
     @property
     def quorum(self) -> int:
         """Return how many votes a claim needs."""
-        return quorum_of(len(self.instances))
+        return quorum_size(len(self.instances))
 
 
-def quorum_of(voter_count: int) -> int:
+def quorum_size(voter_count: int) -> int:
     """Return the votes needed of so many voters.
 
     From four voters on, one may be down; fewer must all agree.
@@ -49,14 +49,14 @@
     return voter_count
 
 
-def voters_of(
+def select_voters(
     customer: str,
     key: str,
     region: str,
     instances: Iterable[live_list.Instance],
 ) -> VoterSet:
     """Return the voters of one key, where no list is kept."""
-    return VoterIndex(instances).voters_of(customer, key, region)
+    return VoterIndex(instances).select_voters(customer, key, region)
 
 
 class _Members:
@@ -91,7 +91,7 @@
         )
         self._members: dict[str, _Members] = {}
 
-    def voters_of(self, customer: str, key: str, region: str) -> VoterSet:
+    def select_voters(self, customer: str, key: str, region: str) -> VoterSet:
         """Return the voters of a key, the same for equal lists everywhere.
 
         Zones take turns, each with its best by hash, so that the loss of
@@ -260,7 +260,7 @@
         """Return the number of keys remembered."""
         return len(self._votes)
 
-    def take_list(self, instances: tuple[live_list.Instance, ...]) -> None:
+    def apply_list(self, instances: tuple[live_list.Instance, ...]) -> None:
         """Take over a published list."""
         now_s = self._clock.wall_s()
         if self._views:
@@ -358,7 +358,7 @@
         for view, end_s in zip(self._views, ends_s, strict=True):
             if end_s <= since_s:
                 continue
-            own = view.index.voters_of(
+            own = view.index.select_voters(
                 request.customer, request.key, request.region
             )
             if own.quorum + request.quorum <= len(own.names | asked):
@@ -408,4 +408,4 @@
 
     control.handle(VoteRequest, vote)
     control.handle(WithdrawRequest, withdraw)
-    changes.subscribe(lambda published: voter.take_list(published.instances))
+    changes.subscribe(lambda published: voter.apply_list(published.instances))
--- a/lacewingpitch/work.py
+++ b/lacewingpitch/work.py
@@ -17,7 +17,7 @@
 LOAD_STALL_HEADER = 'Lacewingpitch-Load-Stall-S'
 # The revision of the list by which a sidecar leaves, or the word below.
 LEAVING_HEADER = 'Lacewingpitch-Leaving'
-LEAVES_BY_ITSELF = 'true'
+LEAVING_UNLISTED = 'true'
 
 
 class WorkOrder(link.Message, frozen=True):
@@ -113,7 +113,7 @@
         return None
 
 
-def refusal_of(error: errors.RefusalError) -> Refusal:
+def refusal_from_error(error: errors.RefusalError) -> Refusal:
     """Return what a caller or peer is told of an error."""
     return Refusal(
         kind=error.kind,
@@ -123,7 +123,7 @@
     )
 
 
-def error_of(refusal: Refusal) -> errors.RefusalError:
+def error_from_refusal(refusal: Refusal) -> errors.RefusalError:
     """Return the error that a peer's refusal stands for."""
     return errors.RefusalError(
         refusal.kind,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -18,7 +18,7 @@
     """A runner whose engine has lost the adapter of the request."""
 
     @contextlib.asynccontextmanager
-    async def ready(self, order):
+    async def prepare(self, order):
         raise errors.RefusalError(
             errors.ErrorKind.ADAPTER_UNAVAILABLE, 'the load failed'
         )
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -46,7 +46,7 @@
         known = membership.Membership(self.clock)
         known.update(live_list.InstanceList(1, self.listed))
         self.voters[name] = test_voter.make_voter(name, self.clock)
-        self.voters[name].take_list(self.listed)
+        self.voters[name].apply_list(self.listed)
         self.claims[name] = claim.Claims(name, self, known, self.clock, 600.0)
 
     def order(self, attempt=1, **fields):
--- a/tests/test_claim_processes.py
+++ b/tests/test_claim_processes.py
@@ -241,7 +241,7 @@
     left = {i.name for i in sides.sidecars[: sides.left_count]}
     while True:
         key = processes.new_key()
-        found = voter.voters_of(CUSTOMER, key, '', sides.sidecars)
+        found = voter.select_voters(CUSTOMER, key, '', sides.sidecars)
         if len(found.names & left) == left_voters:
             return key
 
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -105,7 +105,7 @@
 def alone(clock):
     """Return the only voter of every key, past its start."""
     found = make_voter('sidecar-0', clock)
-    found.take_list(instances(1))
+    found.apply_list(instances(1))
     clock.now_s += 100.0
     return found
 
@@ -123,14 +123,14 @@
         before = instances(count, zones)
         after = tuple(i for i in before if i.name != f'sidecar-{gone % count}')
         key = key_at(START_S, noise)
-        one = voter.voters_of('haneul', key, 'region-a', before)
-        other = voter.voters_of('haneul', key, 'region-a', after)
+        one = voter.select_voters('haneul', key, 'region-a', before)
+        other = voter.select_voters('haneul', key, 'region-a', after)
         assert len(one.names - other.names) <= 1
         assert len(other.names - one.names) <= 1
 
     @given(count=strategies.integers(1, 14), noise=strategies.integers(0, 99))
     def test_two_quorums_of_one_list_meet(self, count, noise):
-        found = voter.voters_of(
+        found = voter.select_voters(
             'haneul', key_at(START_S, noise), 'region-a', instances(count)
         )
         assert 2 * found.quorum > len(found.instances)
@@ -139,7 +139,7 @@
     @pytest.mark.parametrize('zones', [3, 4, 5])
     def test_no_zone_holds_a_quorum(self, zones):
         for noise in range(200):
-            found = voter.voters_of(
+            found = voter.select_voters(
                 'haneul',
                 key_at(START_S, noise),
                 'region-a',
@@ -183,13 +183,13 @@
             turns[number] += 1
         index = voter.VoterIndex(elsewhere + members)
         for _ in range(2):
-            found = index.voters_of('haneul', key, 'region-a')
+            found = index.select_voters('haneul', key, 'region-a')
             assert [i.name for i in found.instances] == [
                 item[2] for item in sorted(expected)[: voter.MAX_VOTERS]
             ]
 
     def test_other_regions_have_no_vote(self):
-        found = voter.voters_of(
+        found = voter.select_voters(
             'haneul', key_at(START_S), 'region-b', instances(9)
         )
         assert not found.instances
@@ -250,7 +250,7 @@
         clock.now_s += 1.0
         found = make_voter('sidecar-0', clock)
         assert found.vote(ask(key)).verdict is Verdict.TOO_OLD
-        found.take_list(instances(1))
+        found.apply_list(instances(1))
         clock.now_s += LAG_S + 2 * SKEW_S
         assert found.vote(ask(key)).verdict is Verdict.TOO_OLD
         fresh = key_at(clock.now_s)
@@ -278,7 +278,7 @@
 
     def test_full_table_refuses_and_forgets_nothing(self, clock):
         found = make_voter('sidecar-0', clock, max_votes=3)
-        found.take_list(instances(1))
+        found.apply_list(instances(1))
         clock.now_s += 100.0
         keys = [key_at(clock.now_s, noise) for noise in range(5)]
         for key in keys[:3]:
@@ -301,18 +301,18 @@
     ):
         everyone = instances(12)
         key = key_at(clock.now_s + 90.0)
-        old = voter.voters_of('haneul', key, 'region-a', everyone)
+        old = voter.select_voters('haneul', key, 'region-a', everyone)
         after = tuple(i for i in everyone if i not in old.instances[:gone])
-        new = voter.voters_of('haneul', key, 'region-a', after)
+        new = voter.select_voters('haneul', key, 'region-a', after)
         name = min(new.names - old.names)
         found = make_voter(name, clock)
-        found.take_list(everyone)
+        found.apply_list(everyone)
         clock.now_s += 100.0
-        found.take_list(after)
+        found.apply_list(after)
         assert found.vote(ask(key, found=new)).verdict == verdict
         clock.now_s += LAG_S + 2 * SKEW_S
         later = key_at(clock.now_s)
-        new = voter.voters_of('haneul', later, 'region-a', after)
+        new = voter.select_voters('haneul', later, 'region-a', after)
         assert found.vote(ask(later, found=new)).verdict is Verdict.GRANTED
 
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.LIST_WRONG, Step.QUEUED)
@@ -324,15 +324,15 @@
         """
         everyone = instances(12)
         key = key_at(clock.now_s + 100.0)
-        mine = voter.voters_of('haneul', key, 'region-a', everyone)
+        mine = voter.select_voters('haneul', key, 'region-a', everyone)
         few = tuple(
             i
             for i in everyone
             if i not in mine.instances or i == mine.instances[0]
         )
-        theirs = voter.voters_of('haneul', key, 'region-a', few)
+        theirs = voter.select_voters('haneul', key, 'region-a', few)
         found = make_voter(mine.instances[0].name, clock)
-        found.take_list(everyone)
+        found.apply_list(everyone)
         clock.now_s += 100.0
         reply = found.vote(ask(key, found=theirs))
         assert reply.verdict is Verdict.LISTS_DIFFER
@@ -340,7 +340,7 @@
 
     def test_voter_cut_off_from_the_list_backs_nothing(self, clock):
         found = make_voter('sidecar-0', clock, list_age_s=LAG_S + 1.0)
-        found.take_list(instances(1))
+        found.apply_list(instances(1))
         clock.now_s += 100.0
         reply = found.vote(ask(key_at(clock.now_s)))
         assert reply.verdict is Verdict.LIST_STALE
@@ -396,13 +396,13 @@
     def boot(self, name):
         clock = SkewedClock(self.clock, self.offsets[name])
         self.voters[name] = make_voter(name, clock, kind=self.voter_kind)
-        self.voters[name].take_list(self.published[self.known[name]][1])
+        self.voters[name].apply_list(self.published[self.known[name]][1])
 
     def catch_up(self, name, revision):
         while revision > self.known[name]:
             self.known[name] += 1
             listed = self.published[self.known[name]][1]
-            self.voters[name].take_list(listed)
+            self.voters[name].apply_list(listed)
 
     def pass_time(self, by_s):
         overdue_s = self.clock.now_s + by_s - LAG_S
@@ -416,7 +416,7 @@
         """One more sending of the key, to a sidecar with its own list."""
         listed = self.published[self.known[self.noise.choice(self.pool).name]]
         ballot = self.ballot_kind(
-            voter.voters_of('haneul', self.key, 'region-a', listed[1])
+            voter.select_voters('haneul', self.key, 'region-a', listed[1])
         )
         self.ballots.append(ballot)
         request = ask(self.key, ballot.claim_id, ballot.voters)
@@ -522,7 +522,7 @@
     def catch_up(self, name, revision):
         if revision > self.known[name]:
             self.known[name] = revision
-            self.voters[name].take_list(self.published[revision][1])
+            self.voters[name].apply_list(self.published[revision][1])
 
     def some(self, things):
         return (
@@ -550,8 +550,8 @@
 class ForgetfulVoter(voter.Voter):
     """Backs keys from before its start."""
 
-    def take_list(self, found):
-        super().take_list(found)
+    def apply_list(self, found):
+        super().apply_list(found)
         self._oldest_s = 0.0
 
 
