--- a/lacewingpitch/attempts.py
+++ b/lacewingpitch/attempts.py
@@ -46,7 +46,7 @@
         self._node = node
         self._ledger = ledger.RunLedger(node.clock)
         self._runs = runs.Runs()
-        self._kept = runs.KeptAnswers(node.clock)
+        self._answers = runs.AnswerCache(node.clock)
         self._voter = _make_voter(settings, node)
         self._claims = _make_claims(settings, node, self._voter)
         self.queue = self._make_queue()
@@ -58,7 +58,7 @@
         control = self._node.control
         control.handle(voiding.VoidRequest, self._void)
         control.handle(voiding.CancelRequest, self._cancel)
-        control.handle(voter_link.OutcomeRequest, self._claims.tell)
+        control.handle(voter_link.OutcomeRequest, self._claims.report_outcome)
         voter_module.serve_votes(
             self._voter, control, self._node.membership.changes
         )
@@ -101,7 +101,7 @@
             self._execute(attempt_id, order, body, delivery),
         )
         try:
-            return await self._follow(attempt_id, task, delivery)
+            return await self._wait_for_run(attempt_id, task, delivery)
         except asyncio.CancelledError:
             if self._ledger.state(attempt_id) is ledger.RunState.QUEUED:
                 task.cancel()
@@ -118,11 +118,11 @@
             It cannot be had any more.
         """
         attempt_id = voiding.attempt_id(order.request_id, order.attempt)
-        kept = self._kept.get(attempt_id)
+        kept = self._answers.get(attempt_id)
         run = self._runs.find(attempt_id)
         if kept is None and not order.stream and run is not None:
-            run.keep()
-            kept = await self._runs.follow(attempt_id, run.tasks[0])
+            run.cancel_expiry()
+            kept = await self._runs.wait_for(attempt_id, run.tasks[0])
         if kept is not None:
             return kept
         if not order.stream:
@@ -131,11 +131,11 @@
             )
         self._ledger.resume(attempt_id)
         task = self._runs.start(
-            attempt_id, order.repeatable, self._continue(order, delivery)
+            attempt_id, order.repeatable, self._resume_stream(order, delivery)
         )
-        return await self._follow(attempt_id, task, delivery)
+        return await self._wait_for_run(attempt_id, task, delivery)
 
-    async def _follow(
+    async def _wait_for_run(
         self,
         attempt_id: str,
         task: asyncio.Task[runs.WholeAnswer | None],
@@ -143,7 +143,7 @@
     ) -> runs.WholeAnswer | None:
         task.add_done_callback(lambda _: self._ledger.close(attempt_id))
         try:
-            return await self._runs.follow(attempt_id, task)
+            return await self._runs.wait_for(attempt_id, task)
         except asyncio.CancelledError:
             delivery.is_broken = True
             raise
@@ -167,7 +167,7 @@
             self._ledger.close(attempt_id, did_not_run)
             raise
         if found is not None:
-            self._kept.put(attempt_id, found)
+            self._answers.put(attempt_id, found)
         return found
 
     async def _claim_and_run(
@@ -181,18 +181,18 @@
             self._claims.claim(order, body) as claim,
             contextlib.AsyncExitStack() as held,
         ):
-            async with claim.collecting():
-                await held.enter_async_context(self._turn(order))
+            async with claim.collecting_votes():
+                await held.enter_async_context(self._hold_turn(order))
             # A contract may be revoked while its request waits; what
             # waits must not run on a right that has ended.
             self._node.contract_registry.check_revoked(order.customer)
             claim.start()
             self._ledger.start(attempt_id)
             found = await self._runner.run(order, body, delivery)
-            claim.keep(found)
+            claim.record_answer(found)
             return found
 
-    async def _continue(
+    async def _resume_stream(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
         try:
@@ -211,12 +211,12 @@
         return None
 
     @contextlib.asynccontextmanager
-    async def _turn(self, order: work.WorkOrder) -> AsyncIterator[None]:
+    async def _hold_turn(self, order: work.WorkOrder) -> AsyncIterator[None]:
         async with contextlib.AsyncExitStack() as held:
-            await self._wait_turn(held, order)
+            await self._acquire_turn(held, order)
             yield
 
-    async def _wait_turn(
+    async def _acquire_turn(
         self, held: contextlib.AsyncExitStack, order: work.WorkOrder
     ) -> None:
         # The place comes before the adapter: who waits for a place keeps
@@ -224,13 +224,13 @@
         start_by_s = self._node.clock.monotonic_s() + order.deadline_s
         try:
             async with asyncio.timeout(order.deadline_s):
-                place = await held.enter_async_context(
+                reservation = await held.enter_async_context(
                     self.queue.reserve(order)
                 )
                 left_s = start_by_s - self._node.clock.monotonic_s()
                 order = msgspec.structs.replace(order, deadline_s=left_s)
                 await held.enter_async_context(self._runner.prepare(order))
-                await held.enter_async_context(place.turn())
+                await held.enter_async_context(reservation.turn())
         except TimeoutError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.DEADLINE_UNREACHABLE,
@@ -294,7 +294,7 @@
     node: node_module.Node,
     voter: voter_module.Voter,
 ) -> claim_module.Claims:
-    links = voter_link.PeerVoters(
+    links = voter_link.PeerVoterLinks(
         settings.instance, voter, node.peers, node.membership
     )
     return claim_module.Claims(
--- a/lacewingpitch/ballot.py
+++ b/lacewingpitch/ballot.py
@@ -1,4 +1,7 @@
-"""One round of votes, and what it says."""
+"""Counting of votes on a claim.
+
+A ballot is one round of votes for one claim on an idempotency key.
+"""
 
 import base64
 from collections.abc import Iterable
@@ -14,7 +17,7 @@
 
 
 class Ballot:
-    """One round of votes for one claim."""
+    """Counts the replies of voters in one round for one claim."""
 
     def __init__(self, voters: voter_module.VoterSet) -> None:
         self.claim_id = _new_claim_id()
@@ -22,36 +25,41 @@
         self._pending = set(voters.names)
         self._granted: set[str] = set()
         self._refused: dict[str, voter_module.VoteReply] = {}
-        self._spared: frozenset[str] = frozenset()
-        self._is_over = False
+        self._unasked: frozenset[str] = frozenset()
+        self._is_closed = False
 
     @property
     def is_won(self) -> bool:
-        """Whether the quorum backs this claim and no other."""
-        return not self._is_over and 0 < self.voters.quorum <= len(
+        """Whether a quorum of voters has granted this claim its votes."""
+        return not self._is_closed and 0 < self.voters.quorum <= len(
             self._granted
         )
 
     @property
     def is_lost(self) -> bool:
-        """Whether the quorum cannot be reached any more."""
-        possible = len(self._granted) + len(self._pending)
-        return self._is_over or possible < max(1, self.voters.quorum)
+        """Whether the quorum can no longer be reached."""
+        max_granted = len(self._granted) + len(self._pending)
+        return self._is_closed or max_granted < max(1, self.voters.quorum)
 
     @property
-    def has_missed(self) -> bool:
-        """Whether a voter refused, or gave no reply."""
+    def has_failed_reply(self) -> bool:
+        """Whether a voter refused, or a request failed without a reply."""
         answered = len(self.voters.instances) - len(self._pending)
         return len(self._granted) < answered
 
-    def spare(self, instances: Iterable[live_list.Instance]) -> None:
-        """Note which voters are not asked, or not yet."""
-        self._spared = frozenset(instance.name for instance in instances)
+    def mark_unasked(self, instances: Iterable[live_list.Instance]) -> None:
+        """Record which voters have not been sent a request (yet).
+
+        This replaces the voters of the previous call.
+        """
+        self._unasked = frozenset(instance.name for instance in instances)
 
-    def count(self, name: str, reply: voter_module.VoteReply | None) -> None:
-        """Take one voter's reply; ``None`` where it gave none."""
-        # A voter's reply counts once, and only for this round: one that
-        # comes late, or twice, must not stand for a second voter.
+    def record_reply(
+        self, name: str, reply: voter_module.VoteReply | None
+    ) -> None:
+        """Count a voter's reply, or ``None`` if its request failed."""
+        # Only the first reply of each voter of this round counts.  A late
+        # or repeated reply must not count as another voter's.
         if name not in self._pending:
             return
         self._pending.discard(name)
@@ -62,53 +70,63 @@
         else:
             self._refused[name] = reply
 
-    def end(self) -> list[live_list.Instance]:
-        """Give the round up; return the voters that may back it."""
-        # Votes are about to be given back, so replies that are still
-        # under way must not complete the claim any more.
-        self._is_over = True
+    def close(self) -> list[live_list.Instance]:
+        """End the round; return the voters that may have granted votes."""
+        # The votes are about to be released, so replies that are still in
+        # flight must not complete the claim.
+        self._is_closed = True
         return [
             instance
             for instance in self.voters.instances
             if instance.name not in self._refused
-            and instance.name not in self._spared
+            and instance.name not in self._unasked
         ]
 
-    def holder(self) -> voter_module.VoteReply | None:
-        """Return the reply that names another claim, if one does."""
-        return self._first(Verdict.TAKEN)
+    def competing_claim(self) -> voter_module.VoteReply | None:
+        """Return a reply that names the claim that has the vote, if any."""
+        return self._first_refusal(Verdict.TAKEN)
 
     def refusal(self) -> errors.RefusalError:
-        """Return what the caller is told of a claim that failed."""
-        if self._first(Verdict.OTHER_BODY):
+        """Return the error for the caller of a claim that failed."""
+        if self._first_refusal(Verdict.OTHER_BODY):
             return errors.RefusalError(
                 errors.ErrorKind.BAD_IDEMPOTENCY_KEY,
                 'Idempotency-Key was used for another request',
             )
-        if self._first(Verdict.TOO_OLD):
-            return idempotency.too_old('voters may have forgotten it')
-        if self._first(Verdict.FROM_FUTURE):
+        if self._first_refusal(Verdict.TOO_OLD):
+            return idempotency.too_old_refusal(
+                'its voters may have lost their votes'
+            )
+        if self._first_refusal(Verdict.FROM_FUTURE):
             return errors.RefusalError(
                 errors.ErrorKind.KEY_OUT_OF_WINDOW,
-                'Idempotency-Key was made in the future',
+                'Idempotency-Key was created in the future',
             )
         return errors.RefusalError(
             errors.ErrorKind.CLAIM_UNAVAILABLE,
-            f'{len(self._granted)} of {self.voters.quorum} votes; this '
-            'sending did not run, send again with the same key',
+            f'{len(self._granted)} of {self.voters.quorum} votes granted; '
+            'this request did not run, retry it with the same key',
             retry_after_s=max(
                 (reply.retry_after_s for reply in self._refused.values()),
                 default=None,
             ),
         )
 
-    def _first(self, verdict: Verdict) -> voter_module.VoteReply | None:
+    def _first_refusal(
+        self, verdict: Verdict
+    ) -> voter_module.VoteReply | None:
         return next(
-            (r for r in self._refused.values() if r.verdict is verdict), None
+            (
+                reply
+                for reply in self._refused.values()
+                if reply.verdict is verdict
+            ),
+            None,
         )
 
 
 def _new_claim_id() -> str:
-    # Every vote carries it, so it is shorter than a UUID is spelt.
-    name = base64.urlsafe_b64encode(uuid_utils.uuid7().bytes)
-    return name.decode('ascii').rstrip('=')
+    # Every vote message contains the id, and base64 is shorter than the
+    # usual text form of a UUID.
+    encoded = base64.urlsafe_b64encode(uuid_utils.uuid7().bytes)
+    return encoded.decode('ascii').rstrip('=')
--- a/lacewingpitch/claim.py
+++ b/lacewingpitch/claim.py
@@ -20,13 +20,13 @@
 from lacewingpitch import voter_link
 from lacewingpitch import work
 
-_WITHDRAW_WAIT_S = 0.5
-_WITHDRAW_TRIES = 3
-_FIRST_BACKOFF_S = 0.01
+_WITHDRAW_TIMEOUT_S = 0.5
+_MAX_WITHDRAW_ATTEMPTS = 3
+_INITIAL_BACKOFF_S = 0.01
 _MAX_BACKOFF_S = 0.2
 _MAX_ROUNDS = 12
-_RUN_POLL_S = 0.1
-_SPARED_S = 0.025
+_OUTCOME_POLL_S = 0.1
+_SPARE_VOTER_DELAY_S = 0.025
 MAX_KEPT_ANSWER_BYTES = 64 << 10
 MAX_KEPT_BYTES = 16 << 20
 log = structlog.get_logger(__name__)
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Held:
+class _ClaimRecord:
     state: voter_link.ClaimState
     changed_at_s: float
 
@@ -74,9 +74,9 @@
         self._membership = membership
         self._clock = clock
         self._window_s = window_s
-        self._indexed = membership.instances
+        self._indexed_instances = membership.instances
         self._index = voter_module.VoterIndex(membership.instances)
-        self._held: collections.OrderedDict[str, _Held] = (
+        self._records: collections.OrderedDict[str, _ClaimRecord] = (
             collections.OrderedDict()
         )
         self._answers: collections.OrderedDict[str, runs.WholeAnswer] = (
@@ -97,16 +97,16 @@
             # "Not run" is proof only as this sidecar says it: it alone
             # passes the work on, and a claim given back cannot start.
             if error.outcome is errors.Outcome.NOT_RUN:
-                found.did_not_run()
+                found.mark_not_run()
             raise
         finally:
             await found.close()
 
-    async def tell(
+    async def report_outcome(
         self, message: voter_link.OutcomeRequest
     ) -> voter_link.OutcomeReply:
         """Answer what came of a claim."""
-        found = self._held.get(message.claim_id)
+        found = self._records.get(message.claim_id)
         if found is None:
             return voter_link.OutcomeReply(
                 state=voter_link.ClaimState.NOT_HELD
@@ -118,14 +118,14 @@
     def voters(self, order: work.WorkOrder) -> voter_module.VoterSet:
         """Return the voters of an order's key by the newest list."""
         instances = self._membership.instances
-        if instances is not self._indexed:
-            self._indexed = instances
+        if instances is not self._indexed_instances:
+            self._indexed_instances = instances
             self._index = voter_module.VoterIndex(instances)
         return self._index.select_voters(
             order.customer, order.idempotency_key, order.region
         )
 
-    def note(
+    def record_state(
         self,
         claim_id: str,
         state: voter_link.ClaimState,
@@ -135,18 +135,20 @@
         self._drop(claim_id)
         if state is voter_link.ClaimState.NOT_HELD:
             return
-        self._held[claim_id] = _Held(state, self._clock.monotonic_s())
+        self._records[claim_id] = _ClaimRecord(
+            state, self._clock.monotonic_s()
+        )
         if answer is not None and len(answer.body) <= MAX_KEPT_ANSWER_BYTES:
             self._answers[claim_id] = answer
             self._kept_bytes += len(answer.body)
-        self._forget()
+        self._evict()
 
     async def withdraw(
         self, order: work.WorkOrder, ballot: ballot_module.Ballot
     ) -> None:
         """Give the votes of a round back; wait for a short while only."""
-        voters = ballot.end()
-        self.note(ballot.claim_id, voter_link.ClaimState.NOT_HELD)
+        voters = ballot.close()
+        self.record_state(ballot.claim_id, voter_link.ClaimState.NOT_HELD)
         message = voter_module.WithdrawRequest(
             customer=order.customer,
             key=order.idempotency_key,
@@ -160,7 +162,7 @@
         for task in tasks:
             task.add_done_callback(self._withdrawals.discard)
         if tasks:
-            await asyncio.wait(tasks, timeout=_WITHDRAW_WAIT_S)
+            await asyncio.wait(tasks, timeout=_WITHDRAW_TIMEOUT_S)
 
     async def close(self) -> None:
         """Stop giving votes back."""
@@ -174,7 +176,7 @@
     ) -> None:
         # A lost withdrawal blocks the key at one voter until the window
         # has passed; it never lets anything run twice.
-        for _ in range(_WITHDRAW_TRIES):
+        for _ in range(_MAX_WITHDRAW_ATTEMPTS):
             try:
                 await self.links.withdraw(instance, message)
                 return
@@ -186,20 +188,20 @@
                 )
 
     def _drop(self, claim_id: str) -> None:
-        self._held.pop(claim_id, None)
+        self._records.pop(claim_id, None)
         answer = self._answers.pop(claim_id, None)
         if answer is not None:
             self._kept_bytes -= len(answer.body)
 
-    def _forget(self) -> None:
+    def _evict(self) -> None:
         oldest_s = self._clock.monotonic_s() - self._window_s
-        while self._held:
-            claim_id, found = next(iter(self._held.items()))
+        while self._records:
+            claim_id, found = next(iter(self._records.items()))
             if found.changed_at_s >= oldest_s:
                 break
             self._drop(claim_id)
             if found.state is not voter_link.ClaimState.FINISHED:
-                self._held[claim_id] = _Held(
+                self._records[claim_id] = _ClaimRecord(
                     found.state, self._clock.monotonic_s()
                 )
         while self._kept_bytes > MAX_KEPT_BYTES:
@@ -218,12 +220,14 @@
     ) -> None:
         self._claims = claims
         self._order = order
-        self._digest = idempotency.digest(order.method, order.path, body)
+        self._digest = idempotency.request_digest(
+            order.method, order.path, body
+        )
         self._ballot: ballot_module.Ballot | None = None
         self._has_started = False
 
     @contextlib.asynccontextmanager
-    async def collecting(self) -> AsyncIterator[None]:
+    async def collecting_votes(self) -> AsyncIterator[None]:
         """Collect the votes while the block waits for its turn.
 
         Leaves only with the claim complete.
@@ -256,17 +260,19 @@
                 errors.ErrorKind.CLAIM_UNAVAILABLE, 'the claim is incomplete'
             )
         self._has_started = True
-        self._claims.note(self._ballot.claim_id, voter_link.ClaimState.RUNNING)
+        self._claims.record_state(
+            self._ballot.claim_id, voter_link.ClaimState.RUNNING
+        )
 
-    def keep(self, answer: runs.WholeAnswer | None) -> None:
+    def record_answer(self, answer: runs.WholeAnswer | None) -> None:
         """Keep the answer for a caller that asks again."""
         if self._ballot is None or answer is None:
             return
-        self._claims.note(
+        self._claims.record_state(
             self._ballot.claim_id, voter_link.ClaimState.FINISHED, answer
         )
 
-    def did_not_run(self) -> None:
+    def mark_not_run(self) -> None:
         """Take note of proof that the request did not run."""
         self._has_started = False
 
@@ -277,24 +283,26 @@
         if not self._has_started:
             await self._claims.withdraw(self._order, self._ballot)
             return
-        held = await self._claims.tell(
+        reported = await self._claims.report_outcome(
             voter_link.OutcomeRequest(claim_id=self._ballot.claim_id)
         )
-        if held.state is voter_link.ClaimState.RUNNING:
-            self._claims.note(
+        if reported.state is voter_link.ClaimState.RUNNING:
+            self._claims.record_state(
                 self._ballot.claim_id, voter_link.ClaimState.FINISHED
             )
 
     async def _collect(self) -> None:
         try:
             async with asyncio.timeout(self._order.deadline_s):
-                await self._try_rounds()
+                await self._run_rounds()
         except TimeoutError as error:
-            raise _key_in_use('a request with this key is running') from error
+            raise _key_in_use_error(
+                'a request with this key is running'
+            ) from error
 
-    async def _try_rounds(self) -> None:
+    async def _run_rounds(self) -> None:
         for number in range(_MAX_ROUNDS):
-            ballot = await self._round()
+            ballot = await self._run_round()
             if ballot.is_won:
                 log.info(
                     'claimed',
@@ -302,22 +310,24 @@
                     round=number + 1,
                 )
                 return
-            holder = ballot.holder()
+            holder = ballot.competing_claim()
             self._ballot = None
             await self._claims.withdraw(self._order, ballot)
             if holder is None:
                 raise ballot.refusal()
-            await self._learn(holder)
+            await self._check_competing_claim(holder)
             # Claims that split the votes try again at random times, else
             # they would split them again.
-            longest_s = min(_FIRST_BACKOFF_S * 2**number, _MAX_BACKOFF_S)
+            longest_s = min(_INITIAL_BACKOFF_S * 2**number, _MAX_BACKOFF_S)
             await asyncio.sleep(random.uniform(0, longest_s))
-        raise _key_in_use('another sending holds this key')
+        raise _key_in_use_error('another sending holds this key')
 
-    async def _round(self) -> ballot_module.Ballot:
+    async def _run_round(self) -> ballot_module.Ballot:
         voters = self._claims.voters(self._order)
         ballot = self._ballot = ballot_module.Ballot(voters)
-        self._claims.note(ballot.claim_id, voter_link.ClaimState.CLAIMING)
+        self._claims.record_state(
+            ballot.claim_id, voter_link.ClaimState.CLAIMING
+        )
         request = voter_module.VoteRequest(
             customer=self._order.customer,
             key=self._order.idempotency_key,
@@ -340,32 +350,34 @@
         )
         quorum = ballot.voters.quorum
         asking, spared = voters[:quorum], voters[quorum:]
-        ballot.spare(spared)
+        ballot.mark_unasked(spared)
         tasks: set[asyncio.Task[None]] = set()
         try:
             while not (ballot.is_won or ballot.is_lost):
                 tasks |= {
-                    asyncio.create_task(self._ask(ballot, instance, request))
+                    asyncio.create_task(
+                        self._request_vote(ballot, instance, request)
+                    )
                     for instance in asking
                 }
                 asking = []
                 done, tasks = await asyncio.wait(
                     tasks,
-                    timeout=_SPARED_S if spared else None,
+                    timeout=_SPARE_VOTER_DELAY_S if spared else None,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 for task in done:
                     task.result()
                 # A voter that is frozen or refuses must not cost the
                 # claim: the votes that were spared are asked for then.
-                if not done or ballot.has_missed:
-                    ballot.spare(())
+                if not done or ballot.has_failed_reply:
+                    ballot.mark_unasked(())
                     asking, spared = spared, []
         finally:
             for task in tasks:
                 task.cancel()
 
-    async def _ask(
+    async def _request_vote(
         self,
         ballot: ballot_module.Ballot,
         instance: live_list.Instance,
@@ -374,11 +386,13 @@
         try:
             reply = await self._claims.links.vote(instance, request)
         except errors.LinkError:
-            ballot.count(instance.name, None)
+            ballot.record_reply(instance.name, None)
             return
-        ballot.count(instance.name, reply)
+        ballot.record_reply(instance.name, reply)
 
-    async def _learn(self, holder: voter_module.VoteReply) -> None:
+    async def _check_competing_claim(
+        self, holder: voter_module.VoteReply
+    ) -> None:
         """Return if the other claim came to nothing, or still may."""
         while True:
             try:
@@ -386,19 +400,19 @@
                     holder.holder, holder.claim_id
                 )
             except errors.LinkError as error:
-                raise _key_in_use(
+                raise _key_in_use_error(
                     'the holder of this key does not answer'
                 ) from error
             if reply.answer is not None:
                 raise KeptAnswerError(reply.answer)
             if reply.state is voter_link.ClaimState.FINISHED:
-                raise _key_in_use('a request with this key ran before')
+                raise _key_in_use_error('a request with this key ran before')
             if reply.state is not voter_link.ClaimState.RUNNING:
                 return
-            await asyncio.sleep(_RUN_POLL_S)
+            await asyncio.sleep(_OUTCOME_POLL_S)
 
 
-def _key_in_use(reason: str) -> errors.RefusalError:
+def _key_in_use_error(reason: str) -> errors.RefusalError:
     return errors.RefusalError(
         errors.ErrorKind.KEY_IN_USE,
         f'{reason}; its outcome is not known here',
--- a/lacewingpitch/idempotency.py
+++ b/lacewingpitch/idempotency.py
@@ -6,7 +6,7 @@
 from lacewingpitch import errors
 
 _VERSION = 7
-_TIME_SHIFT = 80
+_TIMESTAMP_SHIFT_BITS = 80
 _MS_PER_S = 1000
 _DIGEST_BYTES = 16
 
@@ -36,7 +36,7 @@
 
 def created_at_s(key: str) -> float:
     """Return when a canonical key was made, by its maker's clock."""
-    return (uuid.UUID(key).int >> _TIME_SHIFT) / _MS_PER_S
+    return (uuid.UUID(key).int >> _TIMESTAMP_SHIFT_BITS) / _MS_PER_S
 
 
 def check_window(
@@ -51,7 +51,9 @@
     """
     age_s = now_s - created_at_s(key)
     if age_s > window_s:
-        raise too_old(f'it is {age_s:.0f} s old, {window_s:.0f} s are allowed')
+        raise too_old_refusal(
+            f'it is {age_s:.0f} s old, {window_s:.0f} s are allowed'
+        )
     if age_s < -skew_s:
         raise errors.RefusalError(
             errors.ErrorKind.KEY_OUT_OF_WINDOW,
@@ -60,7 +62,7 @@
         )
 
 
-def too_old(reason: str) -> errors.RefusalError:
+def too_old_refusal(reason: str) -> errors.RefusalError:
     """Return the refusal of a key that voters may have forgotten."""
     # An earlier sending with this key may have run: "not run" would
     # invite the caller to send the work again under a new key.
@@ -72,7 +74,7 @@
     )
 
 
-def digest(method: str, path: str, body: bytes) -> str:
+def request_digest(method: str, path: str, body: bytes) -> str:
     """Return what tells two requests under one key apart."""
     found = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (method.encode(), path.encode(), body):
--- a/lacewingpitch/ledger.py
+++ b/lacewingpitch/ledger.py
@@ -1,4 +1,8 @@
-"""What one sidecar knows of each attempt, and whether it can still run."""
+"""Execution states of the attempts that reach a sidecar.
+
+The ledger decides whether an attempt may still run.  It also answers
+entry instances that ask whether an attempt has run.
+"""
 
 import collections
 import dataclasses
@@ -15,10 +19,12 @@
 
 
 class RunState(enum.StrEnum):
-    """How far an attempt got at this sidecar.
+    """Execution state of an attempt at this sidecar.
 
-    ``FORGOTTEN`` says that this process cannot know: the attempt is
-    older than its memory.
+    ``VOID`` is a tombstone: the sidecar promises never to run the
+    attempt.  ``FORGOTTEN`` means that this process cannot know the
+    state, because it no longer holds, or never held, records that go
+    back far enough.
     """
 
     QUEUED = 'queued'
@@ -37,20 +43,21 @@
 
 
 class RunLedger:
-    """States of the attempts that this sidecar met of late.
+    """States of the attempts that this sidecar handled recently.
 
-    Memory is bounded by the request rate times `window_s`; an entry that
-    waits or runs is kept however old it is.
+    Memory is bounded by the request rate times `window_s`.  Entries of
+    attempts that wait or run are kept regardless of their age.
 
     Parameters
     ----------
     clock
         Source of time.
     window_s
-        How long a state is remembered after its last change.
+        How long a state is kept after its last change, in seconds.
     skew_s
-        How far the clock of an entry instance may be from this one's.
-        Attempts from further ahead are refused.
+        Maximum difference between the clocks of an entry instance and
+        of this sidecar, in seconds.  Attempts that were created further
+        in the future are refused.
     """
 
     def __init__(
@@ -62,75 +69,77 @@
         self._clock = clock
         self._window_s = window_s
         self._skew_s = skew_s
-        self._began_at_s = clock.wall_s()
-        self._began_monotonic_s = clock.monotonic_s()
+        self._started_at_s = clock.wall_s()
+        self._started_monotonic_s = clock.monotonic_s()
         self._entries: collections.OrderedDict[str, Entry] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Return how many attempts are remembered."""
+        """Return the number of attempts in the ledger."""
         return len(self._entries)
 
     def state(self, attempt_id: str) -> RunState | None:
-        """Return the state of an attempt, if it is remembered."""
+        """Return the state of an attempt, ``None`` if it has no entry."""
         found = self._entries.get(attempt_id)
         return None if found is None else found.state
 
     def admit(self, attempt_id: str) -> None:
-        """Record an attempt that arrived.
+        """Record that an attempt has arrived.
 
         Raises
         ------
         RefusalError
-            It was voided, so it must not run; or it is here already; or
-            it is too old, or from a clock too far ahead.
+            The attempt was voided and must not run, or it has arrived
+            before, or it was created too long ago or by a clock that is
+            too far ahead.
         """
-        self._forget_old()
+        self._expire_old_entries()
         found = self.state(attempt_id)
         if found is None:
-            self._check_age(attempt_id)
+            self._check_window(attempt_id)
             self._set(attempt_id, RunState.QUEUED)
             return
         if found is RunState.VOID:
-            raise _withdrawn()
+            raise _withdrawn_error()
         raise errors.RefusalError(
-            errors.ErrorKind.KEY_IN_USE, 'this request is here already'
+            errors.ErrorKind.KEY_IN_USE, 'this attempt has already arrived'
         )
 
     def start(self, attempt_id: str) -> None:
-        """Record that the attempt is now passed on.
+        """Record that the attempt is sent to the backend server now.
 
         Raises
         ------
         RefusalError
-            It was voided while it waited.
+            The attempt was voided while it waited.
         """
-        # An entry instance that gave up may have answered "not run" on
-        # the strength of the void; passing the work on would break it.
+        # An entry instance that gave up may have answered "not run"
+        # because of the void.  Running the attempt would make that
+        # answer false.
         if self.state(attempt_id) is not RunState.QUEUED:
-            raise _withdrawn()
+            raise _withdrawn_error()
         self._set(attempt_id, RunState.STARTED)
 
     def resume(self, attempt_id: str) -> None:
-        """Record that the stream of an attempt is taken up again.
+        """Record that the stream of an attempt is resumed.
 
-        The attempt may be one that an earlier process started.
+        An earlier process may have started the attempt.
 
         Raises
         ------
         RefusalError
-            It was voided, so there is nothing to take up.
+            The attempt was voided, so there is no stream to resume.
         """
         if self.state(attempt_id) is RunState.VOID:
-            raise _withdrawn()
+            raise _withdrawn_error()
         self._set(attempt_id, RunState.STARTED)
 
     def close(self, attempt_id: str, did_not_run: bool = False) -> None:
-        """Record that nothing more happens to the attempt here.
+        """Record that this sidecar has finished with the attempt.
 
-        One that never started, or of which the backend server says that
-        it did not run, is as good as voided.
+        An attempt that never started becomes void, and so does one of
+        which the backend server reports that it did not run.
         """
         found = self.state(attempt_id)
         if found is RunState.QUEUED or did_not_run:
@@ -139,39 +148,40 @@
             self._set(attempt_id, RunState.FINISHED)
 
     def void(self, attempt_id: str) -> RunState:
-        """Promise never to run an attempt, unless it has started.
+        """Void an attempt unless it has started; return its state.
 
-        The promise holds also if the attempt arrives afterwards.
+        An attempt that arrives after it was voided is refused.
         """
-        self._forget_old()
+        self._expire_old_entries()
         found = self.state(attempt_id)
-        if found is None and not self._would_remember(attempt_id):
+        if found is None and not self._is_covered(attempt_id):
             return RunState.FORGOTTEN
         if found is None or found is RunState.QUEUED:
             self._set(attempt_id, RunState.VOID)
             return RunState.VOID
         return found
 
-    def _would_remember(self, attempt_id: str) -> bool:
-        # A sidecar that was killed may have passed the attempt on; its
-        # successor on the same port knows nothing of it, and a void
-        # from its empty memory would make a "not run" that ran.  Every
+    def _is_covered(self, attempt_id: str) -> bool:
+        # An earlier process on the same port may have run the attempt
+        # before it was killed.  This process has no record of that, so
+        # voiding the attempt could produce a false "not run".  Every
         # sidecar refuses attempts from more than the skew ahead of its
-        # clock, so one made later than our start plus the skew cannot
-        # have been admitted before we started.
+        # clock, so an attempt created later than this process's start
+        # plus the skew cannot have been admitted before the start.
         created_at_s = _created_at_s(attempt_id)
-        if created_at_s <= self._began_at_s + self._skew_s:
+        if created_at_s <= self._started_at_s + self._skew_s:
             return False
         return self._in_window(created_at_s)
 
-    def _check_age(self, attempt_id: str) -> None:
-        # A void is forgotten after the window.  An attempt that sat in
-        # the buffer of a socket, or in a frozen entry instance, for that
-        # long would then run after its caller was told "not run".
+    def _check_window(self, attempt_id: str) -> None:
+        # Voids expire after the window.  An attempt that was held that
+        # long in a socket buffer or by a frozen entry instance would
+        # run after its caller received "not run".
         if not self._in_window(_created_at_s(attempt_id)):
             raise errors.RefusalError(
                 errors.ErrorKind.ATTEMPT_OUT_OF_WINDOW,
-                'made too long ago, or by a clock that is ahead',
+                'the attempt was created too long ago, or by a clock that '
+                'is ahead',
             )
 
     def _in_window(self, created_at_s: float) -> bool:
@@ -179,16 +189,17 @@
         return -self._skew_s <= age_s < self._window_s - self._skew_s
 
     def _now_s(self) -> float:
-        # A wall clock that is set back would make old attempts young
-        # again, after their voids were forgotten by the monotonic one.
-        elapsed_s = self._clock.monotonic_s() - self._began_monotonic_s
-        return max(self._clock.wall_s(), self._began_at_s + elapsed_s)
+        # Voids expire by the monotonic clock.  If the wall clock is set
+        # back, attempts whose voids have expired must not fall within
+        # the window again.
+        elapsed_s = self._clock.monotonic_s() - self._started_monotonic_s
+        return max(self._clock.wall_s(), self._started_at_s + elapsed_s)
 
     def _set(self, attempt_id: str, state: RunState) -> None:
         self._entries[attempt_id] = Entry(state, self._clock.monotonic_s())
         self._entries.move_to_end(attempt_id)
 
-    def _forget_old(self) -> None:
+    def _expire_old_entries(self) -> None:
         oldest_s = self._clock.monotonic_s() - self._window_s
         while self._entries:
             attempt_id, entry = next(iter(self._entries.items()))
@@ -201,7 +212,10 @@
 
 
 def _created_at_s(attempt_id: str) -> float:
-    """Return when the UUIDv7 in an attempt's name was made."""
+    """Return the creation time in the UUIDv7 of an attempt id.
+
+    The time is 0 if the id contains no UUID.
+    """
     try:
         request_id = uuid.UUID(attempt_id.partition('.')[0])
     except ValueError:
@@ -209,7 +223,7 @@
     return (request_id.int >> _TIMESTAMP_SHIFT_BITS) / _MS_PER_S
 
 
-def _withdrawn() -> errors.RefusalError:
+def _withdrawn_error() -> errors.RefusalError:
     return errors.RefusalError(
         errors.ErrorKind.ATTEMPT_WITHDRAWN, 'this attempt was withdrawn'
     )
--- a/lacewingpitch/runs.py
+++ b/lacewingpitch/runs.py
@@ -15,9 +15,9 @@
 
 RESUME_GRACE_S = 5.0
 _WRITE_TIMEOUT_S = 60.0
-_KEPT_S = 30.0
-_MAX_KEPT_ANSWER_BYTES = 256 << 10
-_MAX_KEPT_BYTES = 16 << 20
+_ANSWER_RETENTION_S = 30.0
+_MAX_CACHED_ANSWER_BYTES = 256 << 10
+_MAX_CACHED_BYTES = 16 << 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,19 +97,19 @@
         if self._request.transport is not None:
             self._request.transport.abort()
 
-    async def _send(self, sending: Coroutine[None, None, object]) -> None:
+    async def _send(self, operation: Coroutine[None, None, object]) -> None:
         # A reader that is gone, or takes nothing for a minute, must not
         # end a run that may only run once, nor hold its slot for ever.
         try:
             with self._timeout:
-                await sending
+                await operation
         except TimeoutError:
             self.abort()
         except (aiohttp.ClientError, OSError, RuntimeError):
             self.is_broken = True
 
 
-class KeptAnswers:
+class AnswerCache:
     """Small whole answers, kept for a peer whose connection broke."""
 
     def __init__(self, clock: clock_module.Clock) -> None:
@@ -121,23 +121,23 @@
 
     def put(self, attempt_id: str, answer: WholeAnswer) -> None:
         """Keep an answer for a while unless it is large."""
-        if len(answer.body) > _MAX_KEPT_ANSWER_BYTES:
+        if len(answer.body) > _MAX_CACHED_ANSWER_BYTES:
             return
-        until_s = self._clock.monotonic_s() + _KEPT_S
-        self._answers[attempt_id] = (until_s, answer)
+        expires_at_s = self._clock.monotonic_s() + _ANSWER_RETENTION_S
+        self._answers[attempt_id] = (expires_at_s, answer)
         self._bytes += len(answer.body)
-        self._drop_old()
+        self._evict()
 
     def get(self, attempt_id: str) -> WholeAnswer | None:
         """Return a kept answer."""
         found = self._answers.get(attempt_id)
         return None if found is None else found[1]
 
-    def _drop_old(self) -> None:
+    def _evict(self) -> None:
         now_s = self._clock.monotonic_s()
         while self._answers:
-            until_s, answer = next(iter(self._answers.values()))
-            if until_s > now_s and self._bytes <= _MAX_KEPT_BYTES:
+            expires_at_s, answer = next(iter(self._answers.values()))
+            if expires_at_s > now_s and self._bytes <= _MAX_CACHED_BYTES:
                 return
             self._answers.popitem(last=False)
             self._bytes -= len(answer.body)
@@ -152,18 +152,18 @@
     tasks: list[asyncio.Task[WholeAnswer | None]] = dataclasses.field(
         default_factory=list
     )
-    ending: asyncio.TimerHandle | None = None
+    expiry: asyncio.TimerHandle | None = None
 
     def cancel(self) -> None:
         """Stop all work on it."""
         for task in self.tasks:
             task.cancel()
 
-    def keep(self) -> None:
+    def cancel_expiry(self) -> None:
         """Take back the decision to stop it."""
-        if self.ending is not None:
-            self.ending.cancel()
-            self.ending = None
+        if self.expiry is not None:
+            self.expiry.cancel()
+            self.expiry = None
 
 
 class Runs:
@@ -191,14 +191,14 @@
     ) -> asyncio.Task[WholeAnswer | None]:
         """Run `work` in a task of its own."""
         run = self._runs.setdefault(attempt_id, Run(attempt_id, repeatable))
-        run.keep()
+        run.cancel_expiry()
         self._idle.clear()
         task = asyncio.create_task(work)
         run.tasks.append(task)
-        task.add_done_callback(lambda done: self._ended(run, done))
+        task.add_done_callback(lambda done: self._remove_task(run, done))
         return task
 
-    async def follow(
+    async def wait_for(
         self, attempt_id: str, task: asyncio.Task[WholeAnswer | None]
     ) -> WholeAnswer | None:
         """Wait for a run, which goes on if the waiting is cancelled.
@@ -212,7 +212,7 @@
             return await asyncio.shield(task)
         except asyncio.CancelledError:
             if not task.cancelled():
-                self._abandon(attempt_id)
+                self._start_expiry(attempt_id)
                 raise
             raise errors.RefusalError(
                 errors.ErrorKind.CALLER_GONE, 'the run was stopped'
@@ -230,22 +230,24 @@
         """Wait until nothing runs."""
         await self._idle.wait()
 
-    def _abandon(self, attempt_id: str) -> None:
+    def _start_expiry(self, attempt_id: str) -> None:
         run = self._runs.get(attempt_id)
         if run is None or not run.repeatable:
             return
-        run.keep()
+        run.cancel_expiry()
         loop = asyncio.get_running_loop()
-        run.ending = loop.call_later(RESUME_GRACE_S, run.cancel)
+        run.expiry = loop.call_later(RESUME_GRACE_S, run.cancel)
 
-    def _ended(self, run: Run, task: asyncio.Task[WholeAnswer | None]) -> None:
+    def _remove_task(
+        self, run: Run, task: asyncio.Task[WholeAnswer | None]
+    ) -> None:
         if not task.cancelled():
             # Marks the exception as seen: the peer may be gone.
             task.exception()
         run.tasks.remove(task)
         if run.tasks:
             return
-        run.keep()
+        run.cancel_expiry()
         del self._runs[run.attempt_id]
         if not self._runs:
             self._idle.set()
--- a/lacewingpitch/voter.py
+++ b/lacewingpitch/voter.py
@@ -1,4 +1,9 @@
-"""Promises, kept in memory, that back one attempt per idempotency key."""
+"""Voters: each grants its vote on an idempotency key to one claim.
+
+A claim is the attempt of one sidecar to become the only one that runs
+the request with a key.  It succeeds with the votes of a quorum of the
+key's voters, which are sidecars chosen by hash.  Votes are held in memory.
+"""
 
 from collections.abc import Callable, Iterable, Sequence
 import dataclasses
@@ -16,35 +21,36 @@
 
 MAX_VOTERS = 5
 ANY_REGION = 'default'
-_SMALLEST_SPARING_ONE = 4
-_MAX_VIEWS = 32
-_MAX_WITHDRAWN = 16
+_MIN_VOTERS_TO_SPARE_ONE = 4
+_MAX_LISTS = 32
+_MAX_WITHDRAWN_CLAIMS = 16
 _RETRY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VoterSet:
-    """The voters of one key by one list, and how many must agree."""
+    """The voters of one key according to one list of instances."""
 
     instances: tuple[live_list.Instance, ...]
 
     @property
     def names(self) -> frozenset[str]:
-        """Return the voters' names."""
+        """Return the names of the voters."""
         return frozenset(instance.name for instance in self.instances)
 
     @property
     def quorum(self) -> int:
-        """Return how many votes a claim needs."""
+        """Return the number of votes that a claim needs."""
         return quorum_size(len(self.instances))
 
 
 def quorum_size(voter_count: int) -> int:
-    """Return the votes needed of so many voters.
+    """Return the number of votes that a claim needs.
 
-    From four voters on, one may be down; fewer must all agree.
+    With four voters or more, one may be unavailable.  Fewer voters must
+    be unanimous.
     """
-    if voter_count >= _SMALLEST_SPARING_ONE:
+    if voter_count >= _MIN_VOTERS_TO_SPARE_ONE:
         return voter_count - 1
     return voter_count
 
@@ -55,12 +61,15 @@
     region: str,
     instances: Iterable[live_list.Instance],
 ) -> VoterSet:
-    """Return the voters of one key, where no list is kept."""
+    """Return the voters of one key, from a list that is used only once.
+
+    Use a `VoterIndex` to look up many keys in one list.
+    """
     return VoterIndex(instances).select_voters(customer, key, region)
 
 
-class _Members:
-    """The sidecars of one region in one list, by availability zone."""
+class _RegionMembers:
+    """Sidecars of one region in one list, by availability zone."""
 
     def __init__(self, members: Sequence[live_list.Instance]) -> None:
         zones: dict[str, list[live_list.Instance]] = {}
@@ -70,17 +79,21 @@
             (instances, [instance.name.encode() for instance in instances])
             for instances in zones.values()
         ]
-        # A zone too small for its turns leaves them to the others.
-        turns = math.ceil(MAX_VOTERS / max(1, len(zones)))
-        is_small = any(len(zone) < turns for zone in zones.values())
-        self.turns = MAX_VOTERS if is_small else turns
+        # If a zone has too few sidecars for its share of the votes, the
+        # other zones provide the remaining voters.
+        votes_per_zone = math.ceil(MAX_VOTERS / max(1, len(zones)))
+        has_small_zone = any(
+            len(zone) < votes_per_zone for zone in zones.values()
+        )
+        self.votes_per_zone = MAX_VOTERS if has_small_zone else votes_per_zone
 
 
 class VoterIndex:
-    """Finds the voters of keys by one list.
+    """Finds the voters of keys in one list of instances.
 
-    What does not depend on the key is found once: the list holds the
-    sidecars of all regions, and each vote asks for a key's voters.
+    The list holds the sidecars of all regions, and every vote looks up
+    the voters of a key.  The grouping of sidecars, which does not depend
+    on the key, is therefore computed once.
     """
 
     def __init__(self, instances: Iterable[live_list.Instance]) -> None:
@@ -89,53 +102,58 @@
             for instance in instances
             if instance.role is live_list.Role.SIDECAR
         )
-        self._members: dict[str, _Members] = {}
+        self._members_by_region: dict[str, _RegionMembers] = {}
 
     def select_voters(self, customer: str, key: str, region: str) -> VoterSet:
-        """Return the voters of a key, the same for equal lists everywhere.
+        """Return the voters of a key.
 
-        Zones take turns, each with its best by hash, so that the loss of
-        a zone costs no more voters than need be.  One instance more or
-        less in the list changes one voter at most.
+        All processes with equal lists find the same voters.  Zones
+        contribute voters in rotation, each in order of rendezvous hash,
+        so that the loss of a zone removes as few voters as possible.
+        Adding or removing one instance changes at most one voter.
 
         Notes
         -----
-        Instances that leave still vote until the list drops them: they
-        keep their promises until they end.
+        Leaving instances vote until they are removed from the list,
+        since they hold their votes until they exit.
         """
         seed = xxhash.xxh3_64_intdigest(f'{customer}/{key}'.encode())
-        members = self._members_of(region)
+        members = self._region_members(region)
         digest = xxhash.xxh3_64_intdigest
-        found: list[tuple[int, int, live_list.Instance]] = []
+        candidates: list[tuple[int, int, live_list.Instance]] = []
         for instances, names in members.zones:
             scores = [digest(name, seed) for name in names]
-            best = heapq.nlargest(members.turns, scores)
-            found.extend(
-                (turn, -score, instances[scores.index(score)])
-                for turn, score in enumerate(best)
+            best = heapq.nlargest(members.votes_per_zone, scores)
+            candidates.extend(
+                (rank, -score, instances[scores.index(score)])
+                for rank, score in enumerate(best)
             )
-        found.sort(key=lambda item: item[:2])
-        return VoterSet(tuple(item[2] for item in found[:MAX_VOTERS]))
-
-    def _members_of(self, region: str) -> _Members:
-        known = self._members.get(region)
-        if known is not None:
-            return known
-        made = _Members(
+        candidates.sort(key=lambda item: item[:2])
+        return VoterSet(tuple(item[2] for item in candidates[:MAX_VOTERS]))
+
+    def _region_members(self, region: str) -> _RegionMembers:
+        cached = self._members_by_region.get(region)
+        if cached is not None:
+            return cached
+        members = _RegionMembers(
             [
                 instance
                 for instance in self._sidecars
                 if region in (ANY_REGION, '', instance.region)
             ]
         )
-        # Names of regions come from messages: only real ones are kept.
-        if made.zones:
-            self._members[region] = made
-        return made
+        # Region names come from messages.  Only regions with sidecars are
+        # cached, so that unknown names cannot fill the cache.
+        if members.zones:
+            self._members_by_region[region] = members
+        return members
 
 
 class Verdict(enum.StrEnum):
-    """What a voter says to a claim."""
+    """A voter's reply to a claim.
+
+    ``GRANTED`` is the vote; every other member is a reason to refuse it.
+    """
 
     GRANTED = 'granted'
     TAKEN = 'taken'
@@ -149,18 +167,20 @@
 
 
 class VoteRequest(link.Message, frozen=True):
-    """Asks a voter to back one claim on a key, and no other.
+    """Requests a voter's vote on a key, for one claim only.
 
     Parameters
     ----------
     claim_id
-        Unique for each try of an attempt to claim the key.
+        Unique for each round of votes in which an attempt claims the key.
     holder
-        Instance whose sidecar claims.
+        Instance of the claiming sidecar.
     digest
-        Tells whether another request carries the same key.
+        Digest of the request, which shows whether a key is used for two
+        different requests.
     voters, quorum
-        The key's voters as the claiming sidecar knows them.
+        The key's voters, and the votes needed, according to the list of
+        the claiming sidecar.
     """
 
     customer: str
@@ -174,7 +194,11 @@
 
 
 class VoteReply(link.Message, frozen=True):
-    """A voter's answer; names who holds its vote if it is taken."""
+    """A voter's reply.
+
+    If the verdict is ``TAKEN``, `claim_id` and `holder` name the claim
+    that has the vote.
+    """
 
     verdict: Verdict
     claim_id: str = ''
@@ -183,7 +207,7 @@
 
 
 class WithdrawRequest(link.Message, frozen=True):
-    """Gives back the vote of a claim that did not and will not run."""
+    """Releases the vote of a claim whose request has not run and will not."""
 
     customer: str
     key: str
@@ -191,7 +215,7 @@
 
 
 class WithdrawReply(link.Message, frozen=True):
-    """The voter will never again back that claim."""
+    """Confirms that the voter will never grant that claim its vote."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -203,29 +227,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _View:
-    taken_at_s: float
+class _AppliedList:
+    applied_at_s: float
     index: VoterIndex
 
 
 class Voter:
-    """Backs at most one claim per key, for as long as the key is valid.
+    """Grants its vote to at most one claim per key while the key is valid.
 
     Parameters
     ----------
     name
         This instance.
     window_s
-        Age up to which keys are backed.
+        Maximum age of a key, in seconds.
     skew_s
-        Most that two clocks, a caller's or an instance's, may differ.
+        Maximum difference between two clocks, of callers or instances,
+        in seconds.
     list_lag_s
-        Longest that two instances may hold different lists; a voter
-        whose list is older backs nothing.
+        Maximum time for which two instances may have different lists, in
+        seconds.  A voter whose list is older grants no votes.
     list_age_s
-        Tells how long ago the list was last known to be current.
+        Returns how long ago the list was last known to be current, in
+        seconds.
     max_votes
-        Bound of the table.
+        Maximum number of keys in the table.
     """
 
     def __init__(
@@ -245,40 +271,45 @@
         self._skew_s = skew_s
         self._list_lag_s = list_lag_s
         self._list_age_s = list_age_s
-        # How long before a key was made a list may have been in force
-        # that a claim on the key still goes by.
-        self._reach_s = skew_s + list_lag_s
+        # A claim on a key may use a list that was replaced up to this
+        # long before the key was created.
+        self._list_history_s = skew_s + list_lag_s
         self._max_votes = max_votes
         self._votes: dict[tuple[str, str], _Vote] = {}
-        self._by_age: list[tuple[float, tuple[str, str]]] = []
-        self._views: list[_View] = []
-        # Keys from before this are refused.  It never goes back, so what
-        # was forgotten once is never backed again, whatever the clock.
-        self._oldest_s = math.inf
+        self._keys_by_age: list[tuple[float, tuple[str, str]]] = []
+        self._lists: list[_AppliedList] = []
+        # Keys that were created before this time are refused, which are
+        # all keys until the first list is in force.  From then on it never
+        # decreases, so that a key whose vote has expired gets no new one,
+        # even if the clock is set back.
+        self._oldest_key_s = math.inf
 
     def __len__(self) -> int:
-        """Return the number of keys remembered."""
+        """Return the number of keys in the table."""
         return len(self._votes)
 
     def apply_list(self, instances: tuple[live_list.Instance, ...]) -> None:
-        """Take over a published list."""
+        """Put a published list in force."""
         now_s = self._clock.wall_s()
-        if self._views:
-            # A clock that jumps back must not hide a list that was in
-            # force after a key was made.
-            now_s = max(now_s, self._views[-1].taken_at_s)
+        if self._lists:
+            # If the clock is set back, a list that was in force after a
+            # key was created must still count as such.
+            now_s = max(now_s, self._lists[-1].applied_at_s)
         else:
-            # A voter that restarted has forgotten its promises, and which
-            # lists were in force before.  The caller would see its work
-            # done twice when a second sending is backed by voters that
-            # lost the first.  Keys that an earlier life, or a claim with
-            # an earlier list, can have met are refused.
-            self._oldest_s = now_s + self._reach_s
-        self._views.append(_View(now_s, VoterIndex(instances)))
-        self._drop_views(now_s)
+            # A restarted voter has lost its votes and the history of the
+            # lists.  A request would run twice if voters that have lost
+            # their votes for it voted for its retry.  Therefore all keys
+            # are refused on which an earlier process may have voted, or
+            # that may be claimed with an earlier list.
+            self._oldest_key_s = now_s + self._list_history_s
+        self._lists.append(_AppliedList(now_s, VoterIndex(instances)))
+        self._drop_old_lists(now_s)
 
     def vote(self, request: VoteRequest) -> VoteReply:
-        """Back a claim, or say why not.  Asking again changes nothing."""
+        """Grant the vote to a claim, or return why not.
+
+        The call is idempotent.
+        """
         refusal = self._check_time(request) or self._check_lists(request)
         if refusal is not None:
             return refusal
@@ -286,29 +317,29 @@
         vote = self._votes.get(name)
         if vote is None:
             if len(self._votes) >= self._max_votes:
-                # Forgetting a vote to make room would let a second
-                # sending run; refusing costs only a later retry.
+                # Evicting a vote to make room could let a request run
+                # twice.  A refusal costs only a later retry.
                 return VoteReply(
                     verdict=Verdict.TABLE_FULL,
-                    retry_after_s=self._room_in_s(),
+                    retry_after_s=self._time_until_expiry_s(),
                 )
-            vote = self._remember(name)
+            vote = self._add_vote(name)
         return self._decide(vote, request)
 
     def withdraw(self, request: WithdrawRequest) -> WithdrawReply:
-        """Free the vote of a claim, and never back that claim again."""
+        """Release the vote of a claim, and never grant it one again."""
         name = (request.customer, request.key)
-        self._forget_old()
-        if idempotency.created_at_s(request.key) < self._oldest_s:
+        self._expire_old_keys()
+        if idempotency.created_at_s(request.key) < self._oldest_key_s:
             return WithdrawReply()
         vote = self._votes.get(name)
         if vote is None:
             if len(self._votes) >= self._max_votes:
                 return WithdrawReply()
-            vote = self._remember(name)
-        # The request for the vote may arrive after this, or once more.
-        # Backing it then would block the key for a claim that is over.
-        if len(vote.withdrawn) < _MAX_WITHDRAWN:
+            vote = self._add_vote(name)
+        # The vote request may arrive after the withdrawal, or be repeated.
+        # Granting it then would block the key for a claim that has ended.
+        if len(vote.withdrawn) < _MAX_WITHDRAWN_CLAIMS:
             vote.withdrawn = (*vote.withdrawn, request.claim_id)
         if vote.claim_id == request.claim_id:
             vote.claim_id = vote.holder = ''
@@ -327,7 +358,7 @@
             )
         if vote.claim_id:
             return VoteReply(verdict=Verdict.GRANTED)
-        if len(vote.withdrawn) >= _MAX_WITHDRAWN:
+        if len(vote.withdrawn) >= _MAX_WITHDRAWN_CLAIMS:
             return VoteReply(verdict=Verdict.TABLE_FULL)
         vote.claim_id = request.claim_id
         vote.holder = request.holder
@@ -336,61 +367,69 @@
 
     def _check_time(self, request: VoteRequest) -> VoteReply | None:
         created_s = idempotency.created_at_s(request.key)
-        self._forget_old()
+        self._expire_old_keys()
         if created_s > self._clock.wall_s() + self._skew_s:
-            # Backed now, it could outlive a restart of this voter.
+            # After a restart, this voter could no longer tell that such a
+            # key is older than the restart, and would vote on it again.
             return VoteReply(verdict=Verdict.FROM_FUTURE)
-        if created_s < self._oldest_s:
+        if created_s < self._oldest_key_s:
             return VoteReply(verdict=Verdict.TOO_OLD)
         return None
 
     def _check_lists(self, request: VoteRequest) -> VoteReply | None:
-        # Claims with very different lists choose voters that need not
-        # meet, and both would win.  A voter whose lists, since a lag
-        # before the key was made, give such voters cannot tell who else
-        # claims; one cut off from the list cannot tell how far the others
-        # have moved on.  Both abstain, so that no claim gets its quorum.
+        # Claims with very different lists have quorums that need not
+        # intersect, so that both could succeed.  A voter refuses if any of
+        # its lists since `_list_history_s` before the key was created has
+        # a quorum that need not intersect with the claim's, since another
+        # claim may use that list.  A voter that no longer receives the
+        # list cannot know which lists other claims use, and refuses too.
         if self._list_age_s() > self._list_lag_s:
             return VoteReply(verdict=Verdict.LIST_STALE)
-        since_s = idempotency.created_at_s(request.key) - self._reach_s
-        asked = frozenset(request.voters)
-        ends_s = [view.taken_at_s for view in self._views[1:]] + [math.inf]
-        for view, end_s in zip(self._views, ends_s, strict=True):
+        since_s = idempotency.created_at_s(request.key) - self._list_history_s
+        requested = frozenset(request.voters)
+        ends_s = [one.applied_at_s for one in self._lists[1:]] + [math.inf]
+        for applied, end_s in zip(self._lists, ends_s, strict=True):
             if end_s <= since_s:
                 continue
-            own = view.index.select_voters(
+            own = applied.index.select_voters(
                 request.customer, request.key, request.region
             )
-            if own.quorum + request.quorum <= len(own.names | asked):
+            if own.quorum + request.quorum <= len(own.names | requested):
                 return VoteReply(verdict=Verdict.LISTS_DIFFER)
         return None
 
-    def _remember(self, name: tuple[str, str]) -> _Vote:
+    def _add_vote(self, name: tuple[str, str]) -> _Vote:
         vote = self._votes[name] = _Vote()
-        heapq.heappush(self._by_age, (idempotency.created_at_s(name[1]), name))
+        heapq.heappush(
+            self._keys_by_age, (idempotency.created_at_s(name[1]), name)
+        )
         return vote
 
-    def _forget_old(self) -> None:
-        self._oldest_s = max(
-            self._oldest_s, self._clock.wall_s() - self._window_s
+    def _expire_old_keys(self) -> None:
+        self._oldest_key_s = max(
+            self._oldest_key_s, self._clock.wall_s() - self._window_s
         )
-        while self._by_age and self._by_age[0][0] < self._oldest_s:
-            del self._votes[heapq.heappop(self._by_age)[1]]
+        while (
+            self._keys_by_age and self._keys_by_age[0][0] < self._oldest_key_s
+        ):
+            del self._votes[heapq.heappop(self._keys_by_age)[1]]
 
-    def _room_in_s(self) -> float:
-        oldest_s = self._by_age[0][0] + self._window_s
+    def _time_until_expiry_s(self) -> float:
+        oldest_s = self._keys_by_age[0][0] + self._window_s
         return max(_RETRY_S, oldest_s - self._clock.wall_s())
 
-    def _drop_views(self, now_s: float) -> None:
-        while len(self._views) > 1:
-            end_s = self._views[1].taken_at_s
-            is_needed = end_s > now_s - self._window_s - self._reach_s
-            if is_needed and len(self._views) <= _MAX_VIEWS:
+    def _drop_old_lists(self, now_s: float) -> None:
+        while len(self._lists) > 1:
+            end_s = self._lists[1].applied_at_s
+            is_needed = end_s > now_s - self._window_s - self._list_history_s
+            if is_needed and len(self._lists) <= _MAX_LISTS:
                 return
-            del self._views[0]
-            # What is not known of older lists is made up for by
-            # refusing the keys that they could have concerned.
-            self._oldest_s = max(self._oldest_s, end_s + self._reach_s)
+            del self._lists[0]
+            # Keys that could be claimed with the dropped list are refused
+            # from now on.
+            self._oldest_key_s = max(
+                self._oldest_key_s, end_s + self._list_history_s
+            )
 
 
 def serve_votes(
@@ -398,7 +437,7 @@
     control: link.ControlServer,
     changes: reactivex.Observable[live_list.InstanceList],
 ) -> None:
-    """Let peers ask a voter, and keep it informed of the lists."""
+    """Serve vote requests of peers, and apply each published list."""
 
     async def vote(message: VoteRequest) -> VoteReply:
         return voter.vote(message)
--- a/lacewingpitch/voter_link.py
+++ b/lacewingpitch/voter_link.py
@@ -59,7 +59,7 @@
         ...
 
 
-class PeerVoters:
+class PeerVoterLinks:
     """Voters over control links; this instance's own is called directly."""
 
     def __init__(
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -80,18 +80,18 @@
     async def outcome(self, holder, claim_id):
         await asyncio.sleep(0)
         self.check('outcome', holder)
-        return await self.claims[holder].tell(
+        return await self.claims[holder].report_outcome(
             voter_link.OutcomeRequest(claim_id=claim_id)
         )
 
     async def run(self, name, order, *, body=BODY, work_done=None):
         """Do what a sidecar does with an order, on a counted service."""
         async with self.claims[name].claim(order, body) as found:
-            async with found.collecting():
+            async with found.collecting_votes():
                 pass
             found.start()
             response = await work_done()
-            found.keep(response)
+            found.record_answer(response)
             return response
 
 
@@ -152,7 +152,7 @@
         order = fleet.order()
         fleet.asked.clear()
         async with fleet.claims['sidecar-0'].claim(order, BODY) as found:
-            async with found.collecting():
+            async with found.collecting_votes():
                 pass
         assert fleet.asked == {'vote': 4, 'withdraw': 4}
 
@@ -253,7 +253,7 @@
         with pytest.raises(errors.RefusalError) as found:
             async with (
                 fleet.claims['sidecar-0'].claim(order, BODY) as one,
-                one.collecting(),
+                one.collecting_votes(),
             ):
                 await asyncio.Event().wait()
         assert found.value.kind is ErrorKind.CLAIM_UNAVAILABLE
@@ -319,7 +319,7 @@
         async def wait_forever():
             async with (
                 fleet.claims['sidecar-0'].claim(fleet.order(), BODY) as one,
-                one.collecting(),
+                one.collecting_votes(),
             ):
                 waiting.set()
                 await asyncio.Event().wait()
@@ -342,10 +342,12 @@
         """
         order = fleet.order()
         ballot = ballot_module.Ballot(fleet.claims['sidecar-0'].voters(order))
-        ballot.end()
+        ballot.close()
         await fleet.run('sidecar-1', order, work_done=service)
         for name in ballot.voters.names:
-            ballot.count(name, voter.VoteReply(verdict=voter.Verdict.GRANTED))
+            ballot.record_reply(
+                name, voter.VoteReply(verdict=voter.Verdict.GRANTED)
+            )
         assert not ballot.is_won
 
     def test_a_doubled_vote_counts_once(self, fleet):
@@ -353,7 +355,7 @@
             fleet.claims['sidecar-0'].voters(fleet.order())
         )
         for _ in range(5):
-            ballot.count(
+            ballot.record_reply(
                 'sidecar-1', voter.VoteReply(verdict=voter.Verdict.GRANTED)
             )
         assert not ballot.is_won
@@ -364,10 +366,14 @@
         found = fleet.claims['sidecar-0']
         answer = runs.WholeAnswer(200, 'text/plain', bytes(60_000))
         for number in range(400):
-            found.note(f'{number}', voter_link.ClaimState.FINISHED, answer)
+            found.record_state(
+                f'{number}', voter_link.ClaimState.FINISHED, answer
+            )
         kept = [
             (
-                await found.tell(voter_link.OutcomeRequest(claim_id=f'{n}'))
+                await found.report_outcome(
+                    voter_link.OutcomeRequest(claim_id=f'{n}')
+                )
             ).answer
             for n in range(400)
         ]
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -176,11 +176,11 @@
             (-xxhash.xxh3_64_intdigest(one.name.encode(), seed), number, one)
             for one, number in zip(members, numbers, strict=True)
         )
-        turns = [0] * len(zones)
+        chosen_counts = [0] * len(zones)
         expected = []
         for score, number, one in scored:
-            expected.append((turns[number], score, one.name))
-            turns[number] += 1
+            expected.append((chosen_counts[number], score, one.name))
+            chosen_counts[number] += 1
         index = voter.VoterIndex(elsewhere + members)
         for _ in range(2):
             found = index.select_voters('haneul', key, 'region-a')
@@ -440,7 +440,7 @@
             if self.noise.random() < 0.9:
                 self.replies.remove(sent)
             ballot, name, reply = sent
-            ballot.count(name, reply)
+            ballot.record_reply(name, reply)
 
     @stateful.rule()
     def give_up(self):
@@ -452,7 +452,7 @@
             if ballot in self.started:
                 self.started.remove(ballot)
             message = give_back(self.key, ballot.claim_id)
-            self.withdrawals += [(i.name, message) for i in ballot.end()]
+            self.withdrawals += [(i.name, message) for i in ballot.close()]
 
     @stateful.rule()
     def deliver_withdrawals(self):
@@ -552,7 +552,7 @@
 
     def apply_list(self, found):
         super().apply_list(found)
-        self._oldest_s = 0.0
+        self._oldest_key_s = 0.0
 
 
 class TrustingVoter(voter.Voter):
@@ -573,9 +573,9 @@
 class EndlessBallot(ballot_module.Ballot):
     """Counts replies also after its votes were given back."""
 
-    def end(self):
-        found = super().end()
-        self._is_over = False
+    def close(self):
+        found = super().close()
+        self._is_closed = False
         return found
 
 
