--- a/lacewingpitch/service_runner.py
+++ b/lacewingpitch/service_runner.py
@@ -37,13 +37,13 @@
     ) -> None:
         """Detach."""
 
-    def ready(
+    def prepare(
         self, order: work.WorkOrder
     ) -> contextlib.AbstractAsyncContextManager[None]:
         """Return at once; a call needs no adapter."""
         return contextlib.nullcontext()
 
-    def holds(self, order: work.WorkOrder) -> bool:
+    def is_prepared(self, order: work.WorkOrder) -> bool:
         """Return ``True``; a call needs no adapter."""
         return True
 
--- a/lacewingpitch/sidecar.py
+++ b/lacewingpitch/sidecar.py
@@ -251,14 +251,14 @@
         # The headers of an answer have been sent: a second response would
         # be read as a part of its body.  Closing the connection shows the
         # peer that the answer is incomplete.
-        delivery.tear()
+        delivery.abort()
         return delivery.response
 
     async def _add_leaving_header(
         self, _request: web.Request, response: web.StreamResponse
     ) -> None:
         if self._draining:
-            response.headers[work.LEAVING_HEADER] = work.LEAVES_BY_ITSELF
+            response.headers[work.LEAVING_HEADER] = work.LEAVING_UNLISTED
         elif self.is_leaving:
             revision = self._node.membership.revision
             response.headers[work.LEAVING_HEADER] = str(revision)
--- a/lacewingpitch/sidecar_link.py
+++ b/lacewingpitch/sidecar_link.py
@@ -372,7 +372,7 @@
             await self._on_contract_outdated(
                 attempt.order.customer, attempt.sidecar
             )
-        raise work.error_of(body.error)
+        raise work.error_from_refusal(body.error)
 
     async def _post_and_poll(self, attempt: Attempt) -> aiohttp.ClientResponse:
         """Send an attempt, and poll its state until it is answered.
