--- a/lacewingpitch/http_server.py
+++ b/lacewingpitch/http_server.py
@@ -96,7 +96,7 @@
             except OSError as error:
                 if error.errno != errno.EADDRINUSE:
                     raise
-                log.warning('port is held', ip=ip, port=port)
+                log.warning('port in use', ip=ip, port=port)
                 await asyncio.sleep(delay_s * random.uniform(0.5, 1.0))
                 delay_s = min(2 * delay_s, _MAX_BIND_DELAY_S)
                 continue
--- a/tests/cell_faults.py
+++ b/tests/cell_faults.py
@@ -219,7 +219,7 @@
     successor = await scene.deployment.spawn_successor(number)
 
     async def waits():
-        return successor.has_logged('port is held')
+        return successor.has_logged('port in use')
 
     await processes.until(waits)
     await old.kill()
--- a/tests/test_drain_processes.py
+++ b/tests/test_drain_processes.py
@@ -1,4 +1,4 @@
-"""SIGTERM in the middle of work, alone and with another fault."""
+"""Tests of SIGTERM during work, alone and together with another fault."""
 
 import asyncio
 import re
@@ -18,7 +18,7 @@
 Fault = fault_matrix.Fault
 Step = fault_matrix.Step
 
-END = 'data: [DONE]\n\n'
+STREAM_END = 'data: [DONE]\n\n'
 TOKENS = 60
 LONG_TOKENS = 200
 ADAPTERS = ('ficus', 'fern', 'moss', 'ivy')
@@ -73,9 +73,9 @@
 
 
 async def check_whole(deployment, streams):
-    """Wait for streams; each is whole, and ran once."""
+    """Wait for streams; check that each is whole and ran once."""
     for _, request_id, text in await asyncio.gather(*streams):
-        assert text.endswith(END)
+        assert text.endswith(STREAM_END)
         assert numbers(text) == list(range(LONG_TOKENS))
         truths = [await deployment.truth(e) for e in deployment.engines]
         (run,) = (
@@ -94,11 +94,11 @@
 class TestSidecar:
     @pytest.mark.proves(Promise.DRAIN, Fault.LINK_CUT, Step.MID_STREAM)
     @pytest.mark.proves(Promise.DRAIN, Fault.TWO_FAULTS, Step.MID_STREAM)
-    async def test_ends_only_after_streams_are_taken_up(self, deployment):
-        """A stream is lost when its sidecar leaves.
+    async def test_ends_only_after_streams_are_resumed(self, deployment):
+        """Guards against losing a stream when its sidecar shuts down.
 
-        The link breaks just before SIGTERM: the sidecar has no
-        connection any more, and seems idle.
+        The link breaks just before SIGTERM, so the sidecar has no connection
+        and seems idle.
         """
         await deployment.add_engine('--token-s', '0.02')
         sidecar = deployment.instances[0]
@@ -108,27 +108,25 @@
             )
             await deployment.add_entry()
             await publish(deployment, repeatable=False)
-            asking = asyncio.create_task(
+            requests = asyncio.create_task(
                 ask(deployment, stream=True, max_tokens=TOKENS)
             )
             await processes.until(lambda: any_run(deployment))
             relay.reset()
             deployment.sidecars[0].terminate()
-            _, _, text = await asking
-            assert text.endswith(END)
+            _, _, text = await requests
+            assert text.endswith(STREAM_END)
             assert numbers(text) == list(range(TOKENS))
             assert await deployment.sidecars[0].exited() == 0
         (run,) = (await deployment.truth(deployment.engines[0])).runs
         assert run.finished
 
     @pytest.mark.proves(Promise.DRAIN, Fault.NONE, Step.SENT)
-    async def test_ends_only_after_work_that_nobody_waits_for(
-        self, deployment
-    ):
-        """A watering plan is made by half.
+    async def test_ends_only_after_work_without_a_caller(self, deployment):
+        """Guards against a run that is ended half way.
 
-        The caller goes away, then the sidecar is told to leave; the
-        work may not be repeated, so it has to end.
+        The caller disconnects, then the sidecar gets SIGTERM.  The request
+        is not repeatable, so its run has to be finished.
         """
         await deployment.add_engine('--token-s', '0.02')
         await deployment.add_entry()
@@ -150,10 +148,12 @@
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.NONE, Step.DRAINING)
     @pytest.mark.proves(Promise.LEAVING, Fault.LIST_WRONG, Step.DRAINING)
-    async def test_new_work_goes_elsewhere_while_it_drains(self, deployment):
-        """Callers get errors while a backend server leaves.
+    async def test_new_work_is_sent_elsewhere_while_it_drains(
+        self, deployment
+    ):
+        """Guards against errors while a backend server shuts down.
 
-        The list still shows it as live; work goes on to arrive.
+        The list still shows it as live, so new work keeps arriving.
         """
         for _ in range(3):
             await deployment.add_engine('--token-s', '0.01')
@@ -166,13 +166,13 @@
             while not stopping.is_set():
                 results.append(await ask(deployment))
 
-        asking = [asyncio.create_task(keep_asking()) for _ in range(6)]
+        requests = [asyncio.create_task(keep_asking()) for _ in range(6)]
         await processes.until(lambda: any_run(deployment))
         for sidecar in deployment.sidecars[:2]:
             sidecar.terminate()
             assert await sidecar.exited() == 0
         stopping.set()
-        await asyncio.gather(*asking)
+        await asyncio.gather(*requests)
         truths = [await deployment.truth(e) for e in deployment.engines]
         ran = [run.run_id[:36] for truth in truths for run in truth.runs]
         assert len(ran) == len(set(ran))
@@ -184,12 +184,12 @@
 
 class TestEntry:
     @pytest.mark.proves(Promise.DRAIN, Fault.TWO_FAULTS, Step.MID_STREAM)
-    async def test_with_its_sidecar_leaving_too(self, deployment):
-        """A stream ends early when both its ends leave at once."""
+    async def test_shuts_down_together_with_its_sidecar(self, deployment):
+        """Guards against cutting a stream as both its ends shut down."""
         await deployment.add_engine('--token-s', '0.02')
         await deployment.add_entry()
         await publish(deployment)
-        asking = [
+        requests = [
             asyncio.create_task(
                 ask(deployment, stream=stream, max_tokens=TOKENS)
             )
@@ -198,7 +198,7 @@
         await processes.until(lambda: any_run(deployment))
         deployment.sidecars[0].terminate()
         deployment.entries[0].terminate()
-        for outcome, _, text in await asyncio.gather(*asking):
+        for outcome, _, text in await asyncio.gather(*requests):
             assert outcome == 'served'
             assert text.count(f':{TOKENS - 1}') == 1
         assert await deployment.entries[0].exited() == 0
@@ -248,14 +248,12 @@
     @pytest.mark.proves(Promise.DRAIN, Fault.PARTITION, Step.MID_STREAM)
     @pytest.mark.proves(Promise.DRAIN, Fault.TWO_FAULTS, Step.DRAINING)
     @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.PARTITION, Step.MID_STREAM)
-    async def test_told_to_leave_while_the_links_are_cut(
-        self, deployment, sides
-    ):
-        """Streams between two zones end early as their ends leave.
+    async def test_sigterm_while_the_links_are_cut(self, deployment, sides):
+        """Guards against cutting streams between zones during a shutdown.
 
-        The fleet splits; an entry on one side and a sidecar on the other
-        are told to leave while neither reaches the other, then the links
-        heal.  The cause would be a drain that counts connections only.
+        The deployment is partitioned.  An entry on one side and a sidecar on
+        the other get SIGTERM while neither reaches the other, then the links
+        heal.  A drain that counts only connections would end too early.
         """
         streams = await self.streams(deployment)
         await sides.split('cut')
@@ -269,14 +267,14 @@
             assert await process.exited() == 0
 
     @pytest.mark.proves(Promise.DRAIN, Fault.PARTITION, Step.DRAINING)
-    async def test_one_side_leaves_and_the_links_stay_cut(
+    async def test_one_side_shuts_down_while_the_links_stay_cut(
         self, deployment, sides
     ):
-        """A side that leaves waits for ever for those it cannot reach.
+        """Guards against a shutdown that waits forever for unreachable peers.
 
-        The fleet splits and does not heal; an entry and its sidecar are
-        told to leave with a stream of their own side under way.  The
-        cause would be a drain that needs an answer of the others.
+        The deployment is partitioned and does not heal.  An entry and its
+        sidecar get SIGTERM with a stream of their own side in progress.  A
+        drain must not need a reply from the other side.
         """
         await sides.split('half-open')
         await sides.publish(live_list.InstanceState.LEAVING)
@@ -304,11 +302,13 @@
     @pytest.mark.proves(Promise.DRAIN, Fault.CONFIG_DOWN, Step.MID_STREAM)
     @pytest.mark.proves(Promise.DRAIN, Fault.LIST_WRONG, Step.MID_STREAM)
     @pytest.mark.parametrize('leaver', ['entry', 'sidecar'])
-    async def test_leaves_while_the_platform_is_down(self, deployment, leaver):
-        """An instance cannot be replaced while the platform is down.
+    async def test_shuts_down_while_the_platform_is_down(
+        self, deployment, leaver
+    ):
+        """Guards against an instance that needs the platform to shut down.
 
-        Configuration service and list are gone, and with them every
-        watch; then the instance is told to leave in mid-stream.
+        The configuration service and the list are down, and with them every
+        watch; then the instance gets SIGTERM during a stream.
         """
         await deployment.add_engine('--token-s', '0.02')
         await deployment.add_entry()
@@ -332,11 +332,11 @@
 
     @pytest.mark.proves(Promise.DRAIN, Fault.FROZEN, Step.MID_STREAM)
     @pytest.mark.parametrize('leaver', ['entry', 'sidecar'])
-    async def test_frozen_as_it_is_told(self, deployment, leaver):
-        """A stream ends early as an instance wakes up to leave.
+    async def test_sigterm_while_frozen(self, deployment, leaver):
+        """Guards against cutting a stream when a frozen instance resumes.
 
-        It is frozen in mid-stream and told to leave meanwhile; the
-        engine goes on, and everything arrives at once when it wakes.
+        The instance is frozen during the stream and gets SIGTERM meanwhile.
+        The engine continues, and everything arrives at once on resuming.
         """
         await deployment.add_engine('--token-s', '0.02')
         await deployment.add_entry()
--- a/tests/test_fencing_processes.py
+++ b/tests/test_fencing_processes.py
@@ -108,7 +108,7 @@
         successor = await deployment.spawn_successor(0)
 
         async def waits():
-            return successor.has_logged('port is held')
+            return successor.has_logged('port in use')
 
         await processes.until(waits)
         after = await report(deployment)
--- a/tests/test_leaving_processes.py
+++ b/tests/test_leaving_processes.py
@@ -1,3 +1,5 @@
+"""Tests that a backend server that is leaving gets no new work."""
+
 import asyncio
 import collections
 import time
@@ -15,7 +17,7 @@
 Fault = fault_matrix.Fault
 Step = fault_matrix.Step
 LEAVER = 2
-# What "after a few seconds" is held to.
+# Time after which no new run may start.
 LEAVING_S = 3.0
 
 
@@ -46,8 +48,8 @@
     await deployment.publish_instances()
 
 
-async def tell_to_leave(deployment, number):
-    """List a sidecar as leaving, and wait until it knows."""
+async def list_as_leaving_and_wait(deployment, number):
+    """List a sidecar as leaving; wait until it has read the list."""
     await list_as_leaving(deployment, number)
     await until_not_ready(deployment, deployment.sidecars[number])
 
@@ -70,8 +72,8 @@
                 assert response.status == 200
 
 
-async def start_stale(deployment):
-    """Start a platform that shows the list of now for good."""
+async def start_stale_platform(deployment):
+    """Start a platform whose list never changes."""
     stale = await deployment.run('standin', 'platform')
     await deployment.put(stale, '/v1/instances', tuple(deployment.instances))
     return stale, settings.Address(
@@ -88,44 +90,42 @@
     @pytest.mark.proves(
         Promise.LEAVING, Fault.LIST_WRONG, Step.BEFORE_ADMISSION
     )
-    async def test_entry_with_a_stale_list_runs_nothing_there(
-        self, deployment
-    ):
-        """Requests die with a backend server that was told to leave.
+    async def test_entry_with_a_stale_list_starts_no_run(self, deployment):
+        """Guards against losing requests with a server that shuts down.
 
-        The entry's list is stale for good and still calls it live.  The
-        cause would be a sidecar that takes what an entry sends, although
-        its own list says that it leaves.
+        The entry's list stays stale and still shows the backend server as
+        live.  The sidecar must refuse new work once its own list says that
+        it is leaving.
         """
-        _, stale = await start_stale(deployment)
-        behind = await deployment.add_entry(live_list=stale)
+        _, stale = await start_stale_platform(deployment)
+        stale_entry = await deployment.add_entry(live_list=stale)
         await deployment.publish_instances()
-        await deployment.ready(behind)
-        await call_all(deployment, behind)
+        await deployment.ready(stale_entry)
+        await call_all(deployment, stale_entry)
         before = await run_counts(deployment)
         assert min(before) > 0
-        await tell_to_leave(deployment, 0)
-        await call_all(deployment, behind)
+        await list_as_leaving_and_wait(deployment, 0)
+        await call_all(deployment, stale_entry)
         after = await run_counts(deployment)
         assert after[0] == before[0]
         assert sum(after) == sum(before) + 8
 
     @pytest.mark.proves(Promise.LEAVING, Fault.FROZEN, Step.BEFORE_ADMISSION)
-    async def test_woken_entry_runs_nothing_there(self, deployment):
-        """As above, by an entry that was frozen while it was told."""
+    async def test_resumed_entry_starts_no_run(self, deployment):
+        """As above, by an entry that was frozen when the list changed."""
         entry = deployment.entries[0]
         entry.freeze()
-        await tell_to_leave(deployment, 0)
+        await list_as_leaving_and_wait(deployment, 0)
         entry.wake()
         await call_all(deployment, entry)
         assert await run_counts(deployment) == [0, 8]
 
     @pytest.mark.proves(Promise.LEAVING, Fault.NONE, Step.DRAINING)
-    async def test_terminated_sidecar_takes_no_new_work(self, deployment):
-        """New requests keep a backend server busy that is to shut down.
+    async def test_terminated_sidecar_accepts_no_new_work(self, deployment):
+        """Guards against new requests that delay a shutdown.
 
-        Its sidecar gets SIGTERM while a stream runs, and the list still
-        calls it live.  The cause would be a drain that admits more.
+        The sidecar gets SIGTERM during a stream, while the list still shows
+        it as live.  A drain must not admit new requests.
         """
         entry = deployment.entries[0]
         grants = deployment.contracts['haneul'].adapters
@@ -146,26 +146,26 @@
     @pytest.mark.proves(Promise.LEAVING, Fault.HALF_OPEN, Step.SENT)
     @pytest.mark.proves(Promise.LEAVING, Fault.TWO_FAULTS, Step.SENT)
     async def test_order_that_arrives_late_is_refused(self, deployment):
-        """A request dies with a backend server that it reached too late.
+        """Guards against losing a request that arrives too late.
 
-        The link holds it while the backend server is told to leave, and
-        the entry's list is stale.  The cause would be a sidecar that
-        looks at its list only when it promises something.
+        The link delays it until the backend server is leaving, and the
+        entry's list is stale.  The sidecar must check its own list for
+        every order, not only when it makes a promise.
         """
         first = deployment.instances[0]
         async with relay.Relay(first.work_port) as link:
             deployment.instances[0] = msgspec.structs.replace(
                 first, work_port=link.port
             )
-            _, stale = await start_stale(deployment)
-            behind = await deployment.add_entry(live_list=stale)
-            await deployment.ready(behind)
+            _, stale = await start_stale_platform(deployment)
+            stale_entry = await deployment.add_entry(live_list=stale)
+            await deployment.ready(stale_entry)
             link.half_open()
             sent = link.wait_for(b'POST /run')
-            calling = asyncio.create_task(call_all(deployment, behind))
+            calling = asyncio.create_task(call_all(deployment, stale_entry))
             async with asyncio.timeout(processes.WAIT_S):
                 await sent.wait()
-            await tell_to_leave(deployment, 0)
+            await list_as_leaving_and_wait(deployment, 0)
             link.heal()
             await calling
         assert await run_counts(deployment) == [0, 8]
@@ -173,7 +173,7 @@
 
 class TestUnderLoad:
     @pytest.mark.parametrize(
-        'behind',
+        'outdated',
         [
             'nobody',
             pytest.param(
@@ -190,17 +190,17 @@
             ),
         ],
     )
-    async def test_nothing_new_after_seconds(
-        self, deployment, behind, record_property
+    async def test_no_new_run_after_seconds(
+        self, deployment, outdated, record_property
     ):
-        """A backend server is shut down under requests it has just got.
+        """Guards against new work on a backend server about to shut down.
 
-        Callers press through two entries; the list says that it leaves.
-        Its own list goes on calling it live, or an entry was frozen
-        before and wakes up later.
+        Callers send requests through two entries while the list shows the
+        server as leaving.  In further cases its own list still shows it as
+        live, or an entry was frozen before the change and resumes later.
         """
-        _, stale = await start_stale(deployment)
-        fields = {'live_list': stale} if behind == 'its own list' else {}
+        _, stale = await start_stale_platform(deployment)
+        fields = {'live_list': stale} if outdated == 'its own list' else {}
         await deployment.add_engine(**fields)
         await deployment.add_entry()
         await deployment.publish()
@@ -221,18 +221,20 @@
 
         await processes.until(all_ran)
         paused = deployment.entries[1]
-        if behind == 'a paused entry':
+        if outdated == 'a paused entry':
             paused.freeze()
         count = (await run_counts(deployment))[LEAVER]
         await list_as_leaving(deployment, LEAVER)
-        told_s = last_s = time.monotonic()
-        while time.monotonic() < told_s + LEAVING_S:
+        listed_at_s = last_run_at_s = time.monotonic()
+        while time.monotonic() < listed_at_s + LEAVING_S:
             found = (await run_counts(deployment))[LEAVER]
             if found != count:
-                count, last_s = found, time.monotonic()
+                count, last_run_at_s = found, time.monotonic()
             await asyncio.sleep(processes.POLL_S)
-        record_property('last_new_run_s', last_s - told_s)
-        print(f'last new run {last_s - told_s:.3f} s after the list')
+        record_property('last_new_run_s', last_run_at_s - listed_at_s)
+        print(
+            f'last new run {last_run_at_s - listed_at_s:.3f} s after the list'
+        )
         paused.wake()
         before = served.copy()
 
--- a/tests/test_not_run_processes.py
+++ b/tests/test_not_run_processes.py
@@ -357,7 +357,7 @@
         successor = await deployment.spawn_successor(0)
 
         async def waits():
-            return successor.has_logged('port is held')
+            return successor.has_logged('port in use')
 
         await processes.until(waits)
         await old.kill()
--- a/tests/test_silence_processes.py
+++ b/tests/test_silence_processes.py
@@ -1,4 +1,4 @@
-"""Silent sidecars and links among real processes."""
+"""Tests of frozen sidecars and half-open links, with real processes."""
 
 import asyncio
 import contextlib
@@ -19,13 +19,13 @@
 TOKENS = 5
 
 
-async def home_of(deployment):
+async def engine_index_of(deployment):
     """Serve one request; return the number of the engine it ran on."""
     assert await ask(deployment, 'warm') == 200
     for number, engine in enumerate(deployment.engines):
         if (await deployment.truth(engine)).runs:
             return number
-    raise AssertionError('it ran nowhere')
+    raise AssertionError('the request ran on no engine')
 
 
 async def ask(deployment, label):
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 async def start(tmp_path):
-    """Return what starts two engines, with a relay before each."""
+    """Return a function that starts two engines, each behind a relay."""
     async with contextlib.AsyncExitStack() as exits:
         deployment = await exits.enter_async_context(
             processes.Deployment(tmp_path)
@@ -94,20 +94,20 @@
 
 
 @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.FROZEN, Step.BEFORE_ADMISSION)
-async def test_frozen_sidecar_holds_up_nobody_who_may_go_elsewhere(start):
-    """Every second caller waits for as long as a sidecar is frozen.
+async def test_frozen_sidecar_does_not_delay_repeatable_requests(start):
+    """Guards against callers that wait while one of two sidecars is frozen.
 
-    It is listed, keeps its port and takes connections; requests for the
-    adapters that it holds go on being sent there.  The test is over only
-    if they are served before it wakes up.
+    The sidecar is listed, keeps its port and accepts connections, so requests
+    for the adapters that its engine holds are still sent there.  The test
+    ends only if they are served before the sidecar resumes.
     """
     deployment, _ = await start(repeatable=True)
-    home = await home_of(deployment)
-    deployment.sidecars[home].freeze()
+    index = await engine_index_of(deployment)
+    deployment.sidecars[index].freeze()
     labels = [f'call-{number}' for number in range(4)]
     statuses = await asyncio.gather(*(ask(deployment, x) for x in labels))
     assert statuses == [200] * len(labels)
-    deployment.sidecars[home].wake()
+    deployment.sidecars[index].wake()
 
 
 @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.HALF_OPEN, Step.SENT)
@@ -115,18 +115,18 @@
     Promise.AT_MOST_ONCE, Fault.HALF_OPEN, Step.BEFORE_ADMISSION
 )
 async def test_request_stuck_in_a_link_runs_once_elsewhere(start):
-    """A request that may run once waits in a link until its deadline.
+    """Guards against a request that waits in a half-open link.
 
-    The link takes bytes and passes none on; the sidecar behind it is
-    well and has not seen the request.  When the link heals, what waited
-    in it arrives at the sidecar after all.
+    The request may run only once.  The link accepts bytes and delivers none;
+    the sidecar behind it is well and has not received the request.  When the
+    link heals, the request does arrive at the sidecar.
     """
     deployment, relays = await start(repeatable=False)
-    home = await home_of(deployment)
-    stuck_at = deployment.instances[home]
-    await processes.until(lambda: deployment.promises(stuck_at))
-    relays[home].half_open()
+    index = await engine_index_of(deployment)
+    sidecar = deployment.instances[index]
+    await processes.until(lambda: deployment.promises(sidecar))
+    relays[index].half_open()
     assert await ask(deployment, 'stuck') == 200
-    relays[home].heal()
+    relays[index].heal()
     assert await ask(deployment, 'after') == 200
     assert await run_count(deployment, 'stuck') == 1
