--- a/lacewingpitch/admission.py
+++ b/lacewingpitch/admission.py
@@ -26,9 +26,9 @@
 # Share of the allowed wait that remains for an organisation above its fair
 # share, so that organisations within theirs find a short queue.
 _ABOVE_SHARE_WAIT_RATIO = 0.25
-# Range of the delay that is added to the earliest retry time, so that callers
-# don't retry at the same time.  They retry once, and are on time if that is
-# soon.
+# Range of the jitter that is added to the time after which a caller would be
+# admitted if no others arrived, so that callers don't retry together.  They
+# retry once, and are on time if that is soon.
 _RETRY_JITTER_S = (0.1, 0.4)
 
 
--- a/lacewingpitch/turn_queue.py
+++ b/lacewingpitch/turn_queue.py
@@ -106,7 +106,7 @@
         ...
 
     def finish(self, waiter: Waiter, used_s: float) -> None:
-        """Release a reservation and account the duration of its turn."""
+        """Release a reservation and charge the duration of its turn."""
         ...
 
     def forecast(self) -> Iterator[Waiter]:
