--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -34,12 +34,12 @@
 
 def play(account, customer, tokens):
     """Count one streamed answer."""
-    with account.counted('id') as tally:
+    with account.track_request('id') as tally:
         account.identify(tally, customer)
-        tally.stalled('0.25')
+        tally.record_load_stall('0.25')
         for _ in range(tokens):
-            tally.wrote(1)
-        tally.delivered()
+            tally.record_events(1)
+        tally.record_delivery()
 
 
 def counting_s(count=300):
@@ -128,7 +128,7 @@
     for customer in contracts:
         for _ in range(3):
             play(account, customer, 8)
-    account.take_changes()
+    account.pop_changes()
     active = tracemalloc.get_traced_memory()[0] / len(contracts)
     for _ in range(4):
         account.sweep(len(contracts))
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -410,12 +410,12 @@
 def count_answer(account: account_module.Account, number: int) -> None:
     """Count one streamed answer of a customer."""
     customer = make_contract(number)
-    with account.counted('id') as tally:
+    with account.track_request('id') as tally:
         account.identify(tally, customer)
-        tally.stalled('0.25')
+        tally.record_load_stall('0.25')
         for _ in range(20):
-            tally.wrote(1)
-        tally.delivered()
+            tally.record_events(1)
+        tally.record_delivery()
 
 
 def make_row() -> account_rows.Row:
@@ -475,7 +475,7 @@
 ) -> account_rows.RowTable:
     table = account_rows.RowTable()
     for number in range(count):
-        table.writable(f'customer-{number:05}').update(row)
+        table.writable_row(f'customer-{number:05}').update(row)
     now_s = clock_module.SystemClock().wall_s()
     for _ in range(sweeps * 2):
         table.sweep(count + 1, now_s)
--- a/lacewingpitch/account.py
+++ b/lacewingpitch/account.py
@@ -53,8 +53,9 @@
 class Account:
     """The counts of one incarnation of an entry, row by customer.
 
-    Its rows are bounded by the customers that have contracts and by
-    `burn.expired`; the row of a customer that sends nothing is packed.
+    The number of rows is bounded by the customers that have contracts,
+    and the size of a row by `burn.expired_counters`.  Rows of idle
+    customers are packed.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
 
     def add(self, customer: str, increments: Mapping[int, int]) -> None:
         """Add to a customer's counters."""
-        account_rows.add(self.rows.writable(customer), increments)
+        account_rows.add(self.rows.writable_row(customer), increments)
         changed = self._changed.setdefault(customer, set())
         changed.update(n for n in increments if burn.is_copied(n))
 
@@ -83,7 +84,7 @@
         tally.identify(contract)
         self.add(contract.customer, _ONE_RECEIVED)
 
-    def take_changes(self) -> dict[str, set[int]]:
+    def pop_changes(self) -> dict[str, set[int]]:
         """Return which counters changed since the last time."""
         changed, self._changed = self._changed, {}
         return changed
@@ -93,30 +94,30 @@
         self.rows.sweep(count, self._clock.wall_s())
 
     @contextlib.contextmanager
-    def counted(self, request_id: str) -> Iterator['Tally']:
+    def track_request(self, request_id: str) -> Iterator['Tally']:
         """Count one request that came in, in exactly one bucket."""
         self.received_count += 1
         tally = Tally(request_id, self._clock)
         try:
             yield tally
         except (GeneratorExit, ConnectionError):
-            tally.caller_gone()
+            tally.record_disconnect()
             raise
         except Exception:
-            tally.failed()
+            tally.record_internal_error()
             raise
         except BaseException:
             # The server cancels a handler whose caller has vanished.
-            tally.caller_gone()
+            tally.record_disconnect()
             raise
         finally:
-            self._count(tally)
+            self._record_end(tally)
 
-    def _count(self, tally: 'Tally') -> None:
+    def _record_end(self, tally: 'Tally') -> None:
         if tally.customer == UNIDENTIFIED:
             self.add(UNIDENTIFIED, _ONE_RECEIVED)
         self.add(tally.customer, tally.increments())
-        self.ended_by_outcome[tally.end] += 1
+        self.ended_by_outcome[tally.final_outcome] += 1
         if tally.kind:
             self.errors_by_kind[tally.kind] += 1
         self.token_count += tally.token_count
@@ -141,16 +142,16 @@
     """
 
     __slots__ = (
-        '_buckets',
+        '_gap_buckets',
         '_clock',
         '_first_token_s',
         '_gap_count',
         '_is_delivered',
-        '_is_gone',
-        '_last_s',
+        '_is_disconnected',
+        '_last_event_at_s',
         '_objective',
         '_slow_gap_count',
-        '_started_s',
+        '_started_at_s',
         'adapter',
         'customer',
         'kind',
@@ -169,20 +170,20 @@
         self.load_stall_s: float | None = None
         self._clock = clock
         self._objective = contract_module.Objective()
-        self._started_s = clock.monotonic_s()
-        self._last_s = self._started_s
+        self._started_at_s = clock.monotonic_s()
+        self._last_event_at_s = self._started_at_s
         self._first_token_s: float | None = None
         self.token_count = 0
         self._gap_count = 0
         self._slow_gap_count = 0
-        self._buckets: account_rows.Row = {}
+        self._gap_buckets: account_rows.Row = {}
         self._is_delivered = False
-        self._is_gone = False
+        self._is_disconnected = False
 
     @property
-    def end(self) -> str:
+    def final_outcome(self) -> str:
         """Return how the request ended, as text."""
-        if self._is_gone:
+        if self._is_disconnected:
             return errors.ErrorKind.CALLER_GONE.value
         return self.outcome.value
 
@@ -191,72 +192,74 @@
         self.customer = contract.customer
         self._objective = contract.objective
 
-    def stalled(self, header: str | None) -> None:
+    def record_load_stall(self, header: str | None) -> None:
         """Note the load stall that a sidecar's header tells."""
         with contextlib.suppress(TypeError, ValueError):
             stall_s = float(header)  # type: ignore[arg-type]
             if math.isfinite(stall_s) and stall_s >= 0:
                 self.load_stall_s = stall_s
 
-    def wrote(self, event_count: int) -> None:
+    def record_events(self, event_count: int) -> None:
         """Note that so many events of a stream went out together."""
         if event_count <= 0:
             return
         now_s = self._clock.monotonic_s()
         self.token_count += event_count
         if self._first_token_s is None:
-            self._first_token_s = now_s - self._started_s
+            self._first_token_s = now_s - self._started_at_s
         else:
-            self._note_gaps(now_s - self._last_s, 1)
+            self._record_gaps(now_s - self._last_event_at_s, 1)
         if event_count > 1:
             # The others of the group came with no gap at all.
-            self._note_gaps(0.0, event_count - 1)
-        self._last_s = now_s
+            self._record_gaps(0.0, event_count - 1)
+        self._last_event_at_s = now_s
 
-    def has_tokens(self, token_count: int) -> None:
+    def set_token_count(self, token_count: int) -> None:
         """Note how many tokens the answer has."""
         self.token_count = token_count
 
-    def refused(self, error: errors.RefusalError) -> None:
+    def record_error(self, error: errors.RefusalError) -> None:
         """Note that the answer is an error."""
         self.outcome = error.outcome
         self.kind = error.kind.value
-        self._is_gone = error.kind is errors.ErrorKind.CALLER_GONE
+        self._is_disconnected = error.kind is errors.ErrorKind.CALLER_GONE
 
-    def cut(self) -> None:
+    def record_truncation(self) -> None:
         """Note that a stream ended without its explicit end."""
         self.outcome = errors.Outcome.PARTIAL
         self.kind = errors.ErrorKind.ANSWER_CUT.value
 
-    def failed(self) -> None:
+    def record_internal_error(self) -> None:
         """Note that answering failed by a fault of this program."""
         self.outcome = errors.Outcome.UNKNOWN
         self.kind = errors.ErrorKind.INTERNAL.value
 
-    def caller_gone(self) -> None:
+    def record_disconnect(self) -> None:
         """Note that the caller vanished before its answer was out."""
         # A body that cannot be whole ends with its connection torn down
         # by this program; the caller did not go of itself.
-        is_torn = self.outcome is errors.Outcome.PARTIAL
-        self._is_gone = not self._is_delivered and not is_torn
+        is_truncated = self.outcome is errors.Outcome.PARTIAL
+        self._is_disconnected = not self._is_delivered and not is_truncated
 
-    def delivered(self) -> None:
+    def record_delivery(self) -> None:
         """Note that the connection took the answer's last byte."""
         self._is_delivered = True
 
     def increments(self) -> account_rows.Row:
         """Return what this request adds to its customer's row."""
-        row = {self._bucket(): 1}
+        row = {self._outcome_counter(): 1}
         if self.token_count:
             row[account_counters.Counter.TOKENS] = self.token_count
-        self._add_stall(row)
+        self._add_load_stall(row)
         if self._first_token_s is not None:
             row[
                 account_counters.Histogram.FIRST_TOKEN
                 + account_counters.bucket_of(self._first_token_s)
             ] = 1
-        row.update(self._buckets)
-        row.update(burn.increments(self._clock.wall_s(), self._signals()))
+        row.update(self._gap_buckets)
+        row.update(
+            burn.slot_increments(self._clock.wall_s(), self._burn_signals())
+        )
         return row
 
     def log_fields(self) -> dict[str, object]:
@@ -265,31 +268,31 @@
             'request_id': self.request_id,
             'customer': self.customer,
             'adapter': self.adapter,
-            'outcome': self.end,
+            'outcome': self.final_outcome,
             'kind': self.kind,
             'tokens': self.token_count,
-            'first_token_s': _rounded(self._first_token_s),
-            'load_stall_s': _rounded(self.load_stall_s),
-            'duration_s': _rounded(
-                self._clock.monotonic_s() - self._started_s
+            'first_token_s': _round_to_us(self._first_token_s),
+            'load_stall_s': _round_to_us(self.load_stall_s),
+            'duration_s': _round_to_us(
+                self._clock.monotonic_s() - self._started_at_s
             ),
         }
 
-    def _note_gaps(self, gap_s: float, count: int) -> None:
+    def _record_gaps(self, gap_s: float, count: int) -> None:
         number = _BETWEEN_TOKENS + account_counters.bucket_of(gap_s)
-        self._buckets[number] = self._buckets.get(number, 0) + count
+        self._gap_buckets[number] = self._gap_buckets.get(number, 0) + count
         self._gap_count += count
         if gap_s > self._objective.between_tokens_s:
             self._slow_gap_count += count
 
-    def _bucket(self) -> int:
-        if self._is_gone:
+    def _outcome_counter(self) -> int:
+        if self._is_disconnected:
             return account_counters.Counter.CALLER_GONE
         if self.outcome is errors.Outcome.SERVED:
             return account_counters.Counter.SERVED
         return account_counters.kind_counter(self.outcome, self.kind)
 
-    def _add_stall(self, row: account_rows.Row) -> None:
+    def _add_load_stall(self, row: account_rows.Row) -> None:
         if self.outcome is not errors.Outcome.SERVED:
             return
         if self.load_stall_s is None:
@@ -305,26 +308,26 @@
                 + account_counters.bucket_of(self.load_stall_s)
             ] = 1
 
-    def _signals(self) -> dict[burn.Signal, int]:
-        if self._is_gone:
+    def _burn_signals(self) -> dict[burn.Signal, int]:
+        if self._is_disconnected:
             return {}
         is_failed = self.outcome is not errors.Outcome.SERVED
         if is_failed and not burn.spends_budget(errors.ErrorKind(self.kind)):
             return {}
-        first_s = self._first_token_s
-        is_late = first_s is not None and (
-            first_s > self._objective.first_token_s
+        first_token_s = self._first_token_s
+        is_late = first_token_s is not None and (
+            first_token_s > self._objective.first_token_s
         )
-        may_be_slow = self._gap_count * (1 - burn.LATENCY_RATIO)
-        is_slow = self._slow_gap_count > may_be_slow
+        allowed_slow_count = self._gap_count * (1 - burn.LATENCY_RATIO)
+        is_slow = self._slow_gap_count > allowed_slow_count
         return {
             burn.Signal.ANSWERS: 1,
             burn.Signal.FAILED: int(is_failed),
-            burn.Signal.STREAMS: int(first_s is not None),
+            burn.Signal.STREAMS: int(first_token_s is not None),
             burn.Signal.SLOW_FIRST_TOKENS: int(is_late),
             burn.Signal.SLOW_STREAMS: int(is_slow),
         }
 
 
-def _rounded(time_s: float | None) -> float | None:
+def _round_to_us(time_s: float | None) -> float | None:
     return None if time_s is None else round(time_s, 6)
--- a/lacewingpitch/account_copy.py
+++ b/lacewingpitch/account_copy.py
@@ -30,15 +30,15 @@
 # Before compression, which leaves about 0.4 of it: with two holders and
 # a message each interval, 1.6 KB/s at most.
 MAX_BATCH_BYTES = 4096
-MAX_ENDED_BYTES = 1024
+MAX_ENDED_BATCH_BYTES = 1024
 MAX_HELD_ACCOUNTS = 1024
 MAX_HELD_ROWS = 120_000
-_ASK_TIMEOUT_S = 1.0
-_ROW_BYTES = 3
-_MAX_ROWS_BYTES = 1 << 20
+_REQUEST_TIMEOUT_S = 1.0
+_ROW_OVERHEAD_BYTES = 3
+_MAX_UNPACKED_BYTES = 1 << 20
 _ROWS_DECODER = msgspec.msgpack.Decoder(dict[str, dict[int, int]])
-_SWEPT_ROWS = 256
-_MAX_DEPARTED = 1024
+_ROWS_PER_SWEEP = 256
+_MAX_DEPARTED_ENTRIES = 1024
 log = structlog.get_logger(__name__)
 
 
@@ -82,9 +82,11 @@
         LinkError
             They cannot be decoded, or are larger than any sender's.
         """
-        unpacker = zlib.decompressobj()
+        decompressor = zlib.decompressobj()
         try:
-            data = unpacker.decompress(self.packed_rows, _MAX_ROWS_BYTES)
+            data = decompressor.decompress(
+                self.packed_rows, _MAX_UNPACKED_BYTES
+            )
             return _ROWS_DECODER.decode(data)
         except (zlib.error, msgspec.DecodeError) as error:
             raise errors.LinkError(f'rows cannot be read: {error}') from error
@@ -128,7 +130,7 @@
     def merge(self, message: AccountCopy) -> None:
         """Take over a copy; it may come late or twice."""
         for customer, row in message.rows.items():
-            if account_rows.merge(self.rows.writable(customer), row):
+            if account_rows.merge(self.rows.writable_row(customer), row):
                 self.generation += 1
         # A holder that restarted, or dropped the copy, has only what came
         # since.  If it took over the sender's claim of completeness, a
@@ -156,7 +158,7 @@
     ) -> None:
         self._capacity_accounts = capacity_accounts
         self._capacity_rows = capacity_rows
-        self._turns: Iterator[HeldAccount] = iter(())
+        self._round_robin: Iterator[HeldAccount] = iter(())
         self._held: collections.OrderedDict[
             account_module.AccountId, HeldAccount
         ] = collections.OrderedDict()
@@ -172,7 +174,7 @@
         """Return the copy of one account."""
         return self._held.get(account_id)
 
-    async def take(self, message: AccountCopy) -> AccountCopied:
+    async def merge(self, message: AccountCopy) -> AccountCopied:
         """Take over a copy; when full, drop the one longest unused."""
         account_id = message.head.account_id
         held = self._held.get(account_id)
@@ -185,14 +187,14 @@
             log.warning('copy dropped', instance=dropped.instance)
         return AccountCopied(copy_id=held.copy_id)
 
-    def take_turns(self) -> Iterator[HeldAccount]:
+    def iterate_round_robin(self) -> Iterator[HeldAccount]:
         """Return the copies that have not had their turn yet."""
-        turn = next(self._turns, None)
-        if turn is None:
-            self._turns = iter(self.accounts)
+        first = next(self._round_robin, None)
+        if first is None:
+            self._round_robin = iter(self.accounts)
         else:
-            self._turns = itertools.chain((turn,), self._turns)
-        return self._turns
+            self._round_robin = itertools.chain((first,), self._round_robin)
+        return self._round_robin
 
     def sweep(self, count: int, now_s: float) -> None:
         """Drop expired slots and pack idle rows, `count` of each copy."""
@@ -210,10 +212,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiting:
+class _PendingCounters:
     """Counters of one customer that a holder may lack."""
 
-    since_s: float
+    missing_since_s: float
     numbers: set[int]
 
 
@@ -228,34 +230,34 @@
         self.generation = 0
         self.is_final = False
         self._rows = rows
-        self._refilling: collections.deque[str]
-        self._changed: dict[str, _Waiting] = {}
-        self._noted_until_s = 0.0
+        self._full_sync_customers: collections.deque[str]
+        self._pending: dict[str, _PendingCounters] = {}
+        self._recorded_until_s = 0.0
         self._copy_id = ''
-        self.refill()
+        self.start_full_sync()
 
     @property
     def is_empty(self) -> bool:
         """Whether the holder has all that is known."""
-        return not self._changed and not self._refilling
+        return not self._pending and not self._full_sync_customers
 
-    def refill(self) -> None:
+    def start_full_sync(self) -> None:
         """Begin again with every counter."""
-        self._changed = {}
-        self._refilling = collections.deque(self._rows)
+        self._pending = {}
+        self._full_sync_customers = collections.deque(self._rows)
 
-    def note(
+    def record_changes(
         self, changed: Mapping[str, Iterable[int]], until_s: float
     ) -> None:
         """Note all that has changed until a time."""
         for customer, numbers in changed.items():
             # The first of them may have changed right after the last
             # time that this was called.
-            waiting = self._changed.setdefault(
-                customer, _Waiting(self._noted_until_s, set())
+            pending = self._pending.setdefault(
+                customer, _PendingCounters(self._recorded_until_s, set())
             )
-            waiting.numbers.update(numbers)
-        self._noted_until_s = until_s
+            pending.numbers.update(numbers)
+        self._recorded_until_s = until_s
 
     def next_copy(
         self, head: AccountHead, max_bytes: int = MAX_BATCH_BYTES
@@ -266,9 +268,9 @@
         over, and for nothing while a refill goes on.  What it takes is
         gone from here; see `confirm` and `lost`.
         """
-        rows = self._take_changed(max_bytes)
-        size = sum(_row_bytes(c, r) for c, r in rows.items())
-        self._add_refill(rows, max_bytes - size)
+        rows = self._pop_pending(max_bytes)
+        size = sum(_estimate_row_bytes(c, r) for c, r in rows.items())
+        self._add_full_sync_rows(rows, max_bytes - size)
         sent = AccountHead(
             account_id=head.account_id,
             complete_until_s=self._complete_until_s(head),
@@ -287,55 +289,55 @@
             self.is_final = message.head.is_final
             return True
         self._copy_id = reply.copy_id
-        self.refill()
+        self.start_full_sync()
         return False
 
-    def lost(self, message: AccountCopy) -> None:
+    def requeue(self, message: AccountCopy) -> None:
         """Note that a message was not confirmed: it goes first again."""
         # Nobody knows since when its counters have been lacking, so that
         # nothing is claimed until they are through.
-        again = {
-            customer: _Waiting(0.0, set(row))
+        requeued = {
+            customer: _PendingCounters(0.0, set(row))
             for customer, row in message.rows.items()
         }
-        for customer, waiting in self._changed.items():
-            found = again.setdefault(customer, waiting)
-            found.numbers.update(waiting.numbers)
-        self._changed = again
+        for customer, pending in self._pending.items():
+            found = requeued.setdefault(customer, pending)
+            found.numbers.update(pending.numbers)
+        self._pending = requeued
 
     def _complete_until_s(self, head: AccountHead) -> float:
-        if self._refilling:
+        if self._full_sync_customers:
             return 0.0
         return min(
-            (waiting.since_s for waiting in self._changed.values()),
+            (pending.missing_since_s for pending in self._pending.values()),
             default=head.complete_until_s,
         )
 
-    def _take_changed(self, max_bytes: int) -> dict[str, account_rows.Row]:
+    def _pop_pending(self, max_bytes: int) -> dict[str, account_rows.Row]:
         rows: dict[str, account_rows.Row] = {}
         size = 0
-        for customer in tuple(self._changed):
+        for customer in tuple(self._pending):
             source = self._rows.row(customer)
-            numbers = self._changed[customer].numbers
+            numbers = self._pending[customer].numbers
             row = {n: source[n] for n in numbers if n in source}
-            size += _row_bytes(customer, row)
+            size += _estimate_row_bytes(customer, row)
             if rows and size > max_bytes:
                 break
-            del self._changed[customer]
+            del self._pending[customer]
             rows[customer] = row
         return rows
 
-    def _add_refill(
+    def _add_full_sync_rows(
         self, rows: dict[str, account_rows.Row], max_bytes: int
     ) -> None:
-        while self._refilling and max_bytes > 0:
-            customer = self._refilling.popleft()
+        while self._full_sync_customers and max_bytes > 0:
+            customer = self._full_sync_customers.popleft()
             row = {
                 number: count
                 for number, count in self._rows.row(customer).items()
                 if burn.is_copied(number)
             }
-            max_bytes -= _row_bytes(customer, row)
+            max_bytes -= _estimate_row_bytes(customer, row)
             rows[customer] = row
 
 
@@ -371,7 +373,7 @@
         self.departed: collections.OrderedDict[
             str, tuple[live_list.Instance, float]
         ] = collections.OrderedDict()
-        self._listed: dict[str, live_list.Instance] = {}
+        self._listed_entries: dict[str, live_list.Instance] = {}
         self._task: asyncio.Task[None]
 
     def start(self) -> None:
@@ -402,18 +404,18 @@
 
     async def copy_once(self, *, is_final: bool = False) -> None:
         """Send one message to each holder."""
-        self._note_departed()
-        self._account.sweep(_SWEPT_ROWS)
-        self._holder.sweep(_SWEPT_ROWS, self._node.clock.wall_s())
-        await self._copy_own(is_final)
-        await self._copy_ended()
+        self._record_departed()
+        self._account.sweep(_ROWS_PER_SWEEP)
+        self._holder.sweep(_ROWS_PER_SWEEP, self._node.clock.wall_s())
+        await self._copy_own_account(is_final)
+        await self._copy_ended_account()
 
     async def close(self, timeout_s: float) -> None:
         """Stop; send what is left, and say that it is all."""
         self._task.cancel()
         # A cancelled wait on a link has been seen not to return; the
         # last copies must not wait for it.
-        await asyncio.wait({self._task}, timeout=_ASK_TIMEOUT_S)
+        await asyncio.wait({self._task}, timeout=_REQUEST_TIMEOUT_S)
         try:
             async with asyncio.timeout(timeout_s):
                 while not await self._is_all_copied():
@@ -429,23 +431,23 @@
             if account_id == self._account.account_id
         )
 
-    async def _copy_own(self, is_final: bool) -> None:
+    async def _copy_own_account(self, is_final: bool) -> None:
         account = self._account
-        changed = account.take_changes()
+        changed = account.pop_changes()
         head = self.own_head(is_final=is_final)
         holders = self._holders(account.account_id)
-        self._drop_backlogs(account.account_id, holders)
+        self._drop_other_backlogs(account.account_id, holders)
         backlogs = [
             self._backlog(account.account_id, account.rows, peer)
             for peer in holders
         ]
         for backlog in backlogs:
-            backlog.note(changed, head.complete_until_s)
+            backlog.record_changes(changed, head.complete_until_s)
         await asyncio.gather(
             *map(self._send, holders, backlogs, itertools.repeat(head))
         )
 
-    async def _copy_ended(self) -> None:
+    async def _copy_ended_account(self) -> None:
         # The copies of an ended instance have no owner left to renew
         # them: with each holder that is replaced one would go, until the
         # account is lost.  So a holder sends its copy on to whoever the
@@ -453,20 +455,20 @@
         # account a round, in turn, also when nothing is due: only the
         # reply tells that a holder has lost its copy.
         listed = {entry.name: entry for entry in self._entries()}
-        for held in self._holder.take_turns():
+        for held in self._holder.iterate_round_robin():
             if _has_ended(held.account_id, listed):
-                await self._copy_held(held)
+                await self._copy_held_account(held)
                 return
 
-    async def _copy_held(self, held: HeldAccount) -> None:
+    async def _copy_held_account(self, held: HeldAccount) -> None:
         holders = self._holders(held.account_id)
-        self._drop_backlogs(held.account_id, holders)
+        self._drop_other_backlogs(held.account_id, holders)
         for peer in holders:
             backlog = self._backlog(held.account_id, held.rows, peer)
             if backlog.generation != held.generation:
                 backlog.generation = held.generation
-                backlog.refill()
-            await self._send(peer, backlog, held.head, MAX_ENDED_BYTES)
+                backlog.start_full_sync()
+            await self._send(peer, backlog, held.head, MAX_ENDED_BATCH_BYTES)
 
     async def _send(
         self,
@@ -481,13 +483,13 @@
         try:
             reply = await self._node.peers.peer(
                 peer.ip, peer.control_port
-            ).ask(message, AccountCopied, _ASK_TIMEOUT_S)
+            ).ask(message, AccountCopied, _REQUEST_TIMEOUT_S)
         except errors.LinkError as error:
-            backlog.lost(message)
+            backlog.requeue(message)
             log.debug('copy failed', holder=peer.name, error=str(error))
             return
         except asyncio.CancelledError:
-            backlog.lost(message)
+            backlog.requeue(message)
             raise
         if not backlog.confirm(message, reply):
             return
@@ -507,7 +509,7 @@
             self._backlogs[key] = Backlog(rows)
         return self._backlogs[key]
 
-    def _drop_backlogs(
+    def _drop_other_backlogs(
         self,
         account_id: account_module.AccountId,
         holders: list[live_list.Instance],
@@ -540,16 +542,16 @@
             if instance.role is live_list.Role.ENTRY
         ]
 
-    def _note_departed(self) -> None:
+    def _record_departed(self) -> None:
         listed = {entry.name: entry for entry in self._entries()}
-        for name, entry in self._listed.items():
+        for name, entry in self._listed_entries.items():
             if name not in listed:
                 self.departed[name] = (entry, self._node.clock.wall_s())
         for name in listed:
             self.departed.pop(name, None)
-        while len(self.departed) > _MAX_DEPARTED:
+        while len(self.departed) > _MAX_DEPARTED_ENTRIES:
             self.departed.popitem(last=False)
-        self._listed = listed
+        self._listed_entries = listed
 
 
 def _has_ended(
@@ -562,5 +564,7 @@
     return found.started_at_s > account_id.started_at_s
 
 
-def _row_bytes(customer: str, row: account_rows.Row) -> int:
-    return _ROW_BYTES + len(customer) + len(msgspec.msgpack.encode(row))
+def _estimate_row_bytes(customer: str, row: account_rows.Row) -> int:
+    return (
+        _ROW_OVERHEAD_BYTES + len(customer) + len(msgspec.msgpack.encode(row))
+    )
--- a/lacewingpitch/account_counters.py
+++ b/lacewingpitch/account_counters.py
@@ -7,13 +7,13 @@
 
 from lacewingpitch import errors
 
-_REFUSED = 32
-_UNKNOWN = 96
-_PARTIAL = 160
-_BASES = {
-    errors.Outcome.NOT_RUN: _REFUSED,
-    errors.Outcome.UNKNOWN: _UNKNOWN,
-    errors.Outcome.PARTIAL: _PARTIAL,
+_REFUSED_BASE = 32
+_UNKNOWN_BASE = 96
+_PARTIAL_BASE = 160
+_BASE_BY_OUTCOME = {
+    errors.Outcome.NOT_RUN: _REFUSED_BASE,
+    errors.Outcome.UNKNOWN: _UNKNOWN_BASE,
+    errors.Outcome.PARTIAL: _PARTIAL_BASE,
 }
 _KINDS_PER_OUTCOME = 64
 _OTHER_KIND = 0
@@ -101,11 +101,11 @@
 
 def quantile_s(counts: Mapping[int, int], ratio: float) -> float | None:
     """Return the time within which `ratio` of the counts lie."""
-    wanted = ratio * sum(counts.values())
-    seen = 0
+    threshold = ratio * sum(counts.values())
+    cumulative_count = 0
     for bucket in sorted(counts):
-        seen += counts[bucket]
-        if seen >= wanted:
+        cumulative_count += counts[bucket]
+        if cumulative_count >= threshold:
             return bucket_limit_s(bucket)
     return None
 
@@ -114,7 +114,8 @@
     """Return how many requests came to an end, whatever the end."""
     ended = row.get(Counter.SERVED, 0) + row.get(Counter.CALLER_GONE, 0)
     return ended + sum(
-        sum(ended_by_kind(row, outcome).values()) for outcome in _BASES
+        sum(ended_by_kind(row, outcome).values())
+        for outcome in _BASE_BY_OUTCOME
     )
 
 
@@ -122,7 +123,7 @@
     row: Mapping[int, int], outcome: errors.Outcome
 ) -> dict[str, int]:
     """Return the requests of one outcome that was not whole, by kind."""
-    base = _BASES[outcome]
+    base = _BASE_BY_OUTCOME[outcome]
     return {
         _KIND_NAMES.get(number, 'other'): row[base + number]
         for number in range(_KINDS_PER_OUTCOME)
@@ -133,4 +134,4 @@
 @functools.cache
 def kind_counter(outcome: errors.Outcome, kind: str) -> int:
     """Return the counter of requests that ended so."""
-    return _BASES[outcome] + KIND_NUMBERS.get(kind, _OTHER_KIND)
+    return _BASE_BY_OUTCOME[outcome] + KIND_NUMBERS.get(kind, _OTHER_KIND)
--- a/lacewingpitch/account_query.py
+++ b/lacewingpitch/account_query.py
@@ -12,7 +12,7 @@
 MAX_PAGE_ROWS = 500
 
 
-class Departed(msgspec.Struct, frozen=True):
+class DepartedEntry(msgspec.Struct, frozen=True):
     """An entry that has left the list of instances."""
 
     instance: str
@@ -50,7 +50,7 @@
     rows: dict[str, account_rows.Row]
     next_after: str | None = None
     held: tuple[account_copy.AccountHead, ...] = ()
-    departed: tuple[Departed, ...] = ()
+    departed: tuple[DepartedEntry, ...] = ()
 
 
 class AccountReader:
@@ -69,14 +69,14 @@
     async def answer(self, request: AccountRequest) -> AccountReply:
         """Return one page of what was asked for."""
         head, rows = self._find(request.account_id)
-        page, next_after = _page(rows, request)
+        page, next_after = _select_page(rows, request)
         return AccountReply(
             head=head,
             rows=page,
             next_after=next_after,
             held=tuple(held.head for held in self._holder.accounts),
             departed=tuple(
-                Departed(
+                DepartedEntry(
                     entry.name,
                     entry.availability_zone,
                     entry.started_at_s,
@@ -98,7 +98,7 @@
         return held.head, held.rows
 
 
-def _page(
+def _select_page(
     rows: account_rows.RowTable, request: AccountRequest
 ) -> tuple[dict[str, account_rows.Row], str | None]:
     if request.customer is not None:
--- a/lacewingpitch/account_rows.py
+++ b/lacewingpitch/account_rows.py
@@ -38,8 +38,8 @@
     def __init__(self) -> None:
         self._active: dict[str, Row] = {}
         self._packed: dict[str, bytes] = {}
-        self._touched: set[str] = set()
-        self._swept: Iterator[str] = iter(())
+        self._written_since_sweep: set[str] = set()
+        self._sweep_order: Iterator[str] = iter(())
 
     def __len__(self) -> int:
         return len(self._active) + len(self._packed)
@@ -55,9 +55,9 @@
         packed = self._packed.get(customer)
         return {} if packed is None else _DECODER.decode(packed)
 
-    def writable(self, customer: str) -> Row:
+    def writable_row(self, customer: str) -> Row:
         """Return a customer's row, to be written to at once."""
-        self._touched.add(customer)
+        self._written_since_sweep.add(customer)
         found = self._active.get(customer)
         if found is None:
             packed = self._packed.pop(customer, None)
@@ -67,9 +67,9 @@
 
     def sweep(self, count: int, now_s: float) -> None:
         """Drop expired slots of `count` active rows, and pack the idle."""
-        batch = list(itertools.islice(self._swept, count))
+        batch = list(itertools.islice(self._sweep_order, count))
         if len(batch) < count:
-            self._swept = iter(tuple(self._active))
+            self._sweep_order = iter(tuple(self._active))
         for customer in batch:
             self._sweep_row(customer, now_s)
 
@@ -77,10 +77,10 @@
         row = self._active.get(customer)
         if row is None:
             return
-        for number in burn.expired(row, now_s):
+        for number in burn.expired_counters(row, now_s):
             del row[number]
-        if customer in self._touched:
-            self._touched.discard(customer)
+        if customer in self._written_since_sweep:
+            self._written_since_sweep.discard(customer)
             return
         self._packed[customer] = msgspec.msgpack.encode(row)
         del self._active[customer]
--- a/lacewingpitch/answer_delivery.py
+++ b/lacewingpitch/answer_delivery.py
@@ -77,7 +77,9 @@
         RefusalError
             The answer broke off before anything was sent.
         """
-        self._tally.stalled(self._reply.headers.get(work.LOAD_STALL_HEADER))
+        self._tally.record_load_stall(
+            self._reply.headers.get(work.LOAD_STALL_HEADER)
+        )
         if self._order.adapter is None:
             return await self._pass_body()
         if self._reply.content_type == _EVENT_STREAM:
@@ -106,7 +108,7 @@
             )
             await response.write(response_format.error_event(cut))
         if not relay.is_complete:
-            self._tally.cut()
+            self._tally.record_truncation()
         return response
 
     async def _relay_events_in_task(
@@ -134,7 +136,7 @@
             # An event holds about one token.
             self._admitted.used_tokens = float(relay.event_count)
             await response.write(events)
-            self._tally.wrote(
+            self._tally.record_events(
                 relay.event_count - event_count - relay.is_complete
             )
 
@@ -190,7 +192,7 @@
     def _abort(self) -> None:
         # Only an aborted connection shows the caller that the body is
         # incomplete.
-        self._tally.cut()
+        self._tally.record_truncation()
         if self._request.transport is not None:
             self._request.transport.abort()
 
@@ -199,7 +201,7 @@
         with contextlib.suppress(msgspec.DecodeError, RecursionError):
             found = msgspec.json.decode(body, type=_WholeAnswer)
             if found.usage is not None:
-                self._tally.has_tokens(found.usage.completion_tokens)
+                self._tally.set_token_count(found.usage.completion_tokens)
                 self._admitted.used_tokens = float(
                     found.usage.completion_tokens
                 )
--- a/lacewingpitch/burn.py
+++ b/lacewingpitch/burn.py
@@ -18,11 +18,11 @@
 # is slow when more than the rest of its own gaps between tokens are.
 LATENCY_RATIO = 0.95
 # Number of the first counter that belongs to a slot of a window.
-FIRST_NUMBER = 1024
+FIRST_SLOT_COUNTER = 1024
 
 # Refusals that the contract itself asks for, or that the caller's own
 # request brings about, spend no budget.
-_CALLERS_OWN = frozenset(
+_NO_BUDGET_KINDS = frozenset(
     {
         errors.ErrorKind.BAD_REQUEST,
         errors.ErrorKind.NOT_FOUND,
@@ -59,24 +59,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Level:
+class Resolution:
     """Slots of one length, and how far back they are kept."""
 
     slot_s: int
-    kept_s: int
+    retention_s: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """A stretch of time that ends now, summed from one level's slots."""
+    """A stretch of time that ends now, summed from one resolution's slots."""
 
     name: str
     length_s: int
-    level: int
+    resolution: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Alert:
+class AlertRule:
     """Two windows that must both burn faster than a threshold."""
 
     long: Window
@@ -85,10 +85,10 @@
     severity: str
 
 
-LEVELS = (
-    Level(slot_s=60, kept_s=3600),
-    Level(slot_s=1800, kept_s=6 * 3600),
-    Level(slot_s=6 * 3600, kept_s=3 * 86400),
+RESOLUTIONS = (
+    Resolution(slot_s=60, retention_s=3600),
+    Resolution(slot_s=1800, retention_s=6 * 3600),
+    Resolution(slot_s=6 * 3600, retention_s=3 * 86400),
 )
 _FIVE_MINUTES = Window('5 min', 300, 0)
 _HALF_HOUR = Window('30 min', 1800, 0)
@@ -96,13 +96,13 @@
 _SIX_HOURS = Window('6 h', 6 * 3600, 1)
 _THREE_DAYS = Window('3 d', 3 * 86400, 2)
 WINDOWS = (_FIVE_MINUTES, _HALF_HOUR, _HOUR, _SIX_HOURS, _THREE_DAYS)
-ALERTS = (
-    Alert(_HOUR, _FIVE_MINUTES, 14.4, 'page'),
-    Alert(_SIX_HOURS, _HALF_HOUR, 6.0, 'page'),
-    Alert(_THREE_DAYS, _SIX_HOURS, 1.0, 'ticket'),
+ALERT_RULES = (
+    AlertRule(_HOUR, _FIVE_MINUTES, 14.4, 'page'),
+    AlertRule(_SIX_HOURS, _HALF_HOUR, 6.0, 'page'),
+    AlertRule(_THREE_DAYS, _SIX_HOURS, 1.0, 'ticket'),
 )
 
-_PARTS: Mapping[Subject, tuple[Signal, Signal]] = {
+_SIGNALS_BY_SUBJECT: Mapping[Subject, tuple[Signal, Signal]] = {
     Subject.SERVED: (Signal.ANSWERS, Signal.FAILED),
     Subject.FIRST_TOKEN: (Signal.STREAMS, Signal.SLOW_FIRST_TOKENS),
     Subject.BETWEEN_TOKENS: (Signal.STREAMS, Signal.SLOW_STREAMS),
@@ -128,7 +128,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FiredAlert:
+class FiringAlert:
     """An alert whose two windows both burn too fast."""
 
     subject: Subject
@@ -140,20 +140,24 @@
 
 def spends_budget(kind: errors.ErrorKind) -> bool:
     """Return whether an error of this kind counts against the service."""
-    return kind not in _CALLERS_OWN
+    return kind not in _NO_BUDGET_KINDS
 
 
-def increments(at_s: float, signals: Mapping[Signal, int]) -> dict[int, int]:
+def slot_increments(
+    at_s: float, signals: Mapping[Signal, int]
+) -> dict[int, int]:
     """Return what to add to a row's counters for signals at a time."""
     return {
-        _number(level, int(at_s // LEVELS[level].slot_s), signal): count
-        for level in range(len(LEVELS))
+        _encode_number(
+            resolution, int(at_s // RESOLUTIONS[resolution].slot_s), signal
+        ): count
+        for resolution in range(len(RESOLUTIONS))
         for signal, count in signals.items()
         if count
     }
 
 
-def measure(
+def measure_burns(
     row: Mapping[int, int], objective: contract.Objective, now_s: float
 ) -> list[Burn]:
     """Return the burn of each subject over each window."""
@@ -165,11 +169,11 @@
     ]
 
 
-def fired(burns: list[Burn]) -> list[FiredAlert]:
+def firing_alerts(burns: list[Burn]) -> list[FiringAlert]:
     """Return the alerts that fire at these burns."""
     rates = {(b.subject, b.window): b.burn_rate or 0.0 for b in burns}
     return [
-        FiredAlert(
+        FiringAlert(
             subject,
             alert.severity,
             alert.long.name,
@@ -177,22 +181,22 @@
             alert.threshold,
         )
         for subject in Subject
-        for alert in ALERTS
+        for alert in ALERT_RULES
         if rates[subject, alert.long.name] >= alert.threshold
         and rates[subject, alert.short.name] >= alert.threshold
     ]
 
 
-def expired(row: Mapping[int, int], now_s: float) -> list[int]:
+def expired_counters(row: Mapping[int, int], now_s: float) -> list[int]:
     """Return the counters of slots that no window reaches any more.
 
     They are the bound of a row: it keeps at most as many slots of a
-    level as its longest window has, and two at its ends.
+    resolution as its longest window has, and two at its ends.
     """
     return [
         number
         for number in row
-        if number >= FIRST_NUMBER and _is_expired(number, now_s)
+        if number >= FIRST_SLOT_COUNTER and _is_expired(number, now_s)
     ]
 
 
@@ -206,11 +210,13 @@
     """
     counts: collections.Counter[tuple[str, Signal]] = collections.Counter()
     for number, count in row.items():
-        if number < FIRST_NUMBER:
+        if number < FIRST_SLOT_COUNTER:
             continue
-        level, slot, signal = _parts(number)
+        resolution, slot, signal = _decode_number(number)
         for window in WINDOWS:
-            if window.level == level and _touches(window, slot, now_s):
+            if window.resolution == resolution and _overlaps(
+                window, slot, now_s
+            ):
                 counts[window.name, signal] += count
     return counts
 
@@ -221,11 +227,11 @@
     Slots of a minute change with every answer and are out of date within
     the hour; they would be a third of all bytes copied.
     """
-    return number < FIRST_NUMBER or _parts(number)[0] > 0
+    return number < FIRST_SLOT_COUNTER or _decode_number(number)[0] > 0
 
 
-def _touches(window: Window, slot: int, now_s: float) -> bool:
-    slot_s = LEVELS[window.level].slot_s
+def _overlaps(window: Window, slot: int, now_s: float) -> bool:
+    slot_s = RESOLUTIONS[window.resolution].slot_s
     first = math.floor((now_s - window.length_s) / slot_s)
     return first <= slot <= math.floor(now_s / slot_s)
 
@@ -236,7 +242,7 @@
     window: Window,
     budget: float,
 ) -> Burn:
-    total_signal, failed_signal = _PARTS[subject]
+    total_signal, failed_signal = _SIGNALS_BY_SUBJECT[subject]
     total = counts[window.name, total_signal]
     failed = counts[window.name, failed_signal]
     rate = failed / total / budget if total else None
@@ -251,17 +257,21 @@
     }
 
 
-def _number(level: int, slot: int, signal: Signal) -> int:
-    return FIRST_NUMBER + (slot * len(LEVELS) + level) * len(Signal) + signal
+def _encode_number(resolution: int, slot: int, signal: Signal) -> int:
+    return (
+        FIRST_SLOT_COUNTER
+        + (slot * len(RESOLUTIONS) + resolution) * len(Signal)
+        + signal
+    )
 
 
-def _parts(number: int) -> tuple[int, int, Signal]:
-    place, signal = divmod(number - FIRST_NUMBER, len(Signal))
-    slot, level = divmod(place, len(LEVELS))
-    return level, slot, Signal(signal)
+def _decode_number(number: int) -> tuple[int, int, Signal]:
+    slot_index, signal = divmod(number - FIRST_SLOT_COUNTER, len(Signal))
+    slot, resolution = divmod(slot_index, len(RESOLUTIONS))
+    return resolution, slot, Signal(signal)
 
 
 def _is_expired(number: int, now_s: float) -> bool:
-    level, slot, _ = _parts(number)
-    found = LEVELS[level]
-    return (slot + 1) * found.slot_s < now_s - found.kept_s
+    resolution, slot, _ = _decode_number(number)
+    found = RESOLUTIONS[resolution]
+    return (slot + 1) * found.slot_s < now_s - found.retention_s
--- a/lacewingpitch/account_readings.py
+++ b/lacewingpitch/collected_accounts.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class AccountSnapshot:
     """What was read of one account, from itself or from copies."""
 
     account_id: account_module.AccountId
@@ -25,7 +25,7 @@
         for customer, row in rows.items():
             account_rows.merge(self.rows.setdefault(customer, {}), row)
 
-    def note(self, head: account_copy.AccountHead) -> None:
+    def record_head(self, head: account_copy.AccountHead) -> None:
         """Note what the rows that were read claim to hold."""
         self.is_final = self.is_final or head.is_final
         self.complete_until_s = max(
@@ -33,7 +33,7 @@
         )
 
 
-class Readings:
+class CollectedAccounts:
     """Everything that could be read for one report.
 
     `holders` are those that have a copy of an account; ``None`` is this
@@ -41,17 +41,21 @@
     """
 
     def __init__(self) -> None:
-        self.readings: dict[account_module.AccountId, Reading] = {}
+        self.snapshots: dict[account_module.AccountId, AccountSnapshot] = {}
         self.holders: dict[
             account_module.AccountId, list[live_list.Instance | None]
         ] = {}
-        self.departed: dict[str, account_query.Departed] = {}
+        self.departed: dict[str, account_query.DepartedEntry] = {}
 
-    def reading(self, account_id: account_module.AccountId) -> Reading:
+    def snapshot(
+        self, account_id: account_module.AccountId
+    ) -> AccountSnapshot:
         """Return what was read of one account, as yet nothing if new."""
-        return self.readings.setdefault(account_id, Reading(account_id))
+        return self.snapshots.setdefault(
+            account_id, AccountSnapshot(account_id)
+        )
 
-    def note(
+    def record_reply(
         self,
         reply: account_query.AccountReply,
         peer: live_list.Instance | None,
@@ -66,19 +70,21 @@
             if known is None or known.gone_at_s < departed.gone_at_s:
                 self.departed[departed.instance] = departed
 
-    def reached(self) -> set[str]:
+    def reached_instances(self) -> set[str]:
         """Return the instances that answered for themselves."""
         return {
-            reading.account_id.instance
-            for reading in self.readings.values()
-            if reading.is_direct
+            snapshot.account_id.instance
+            for snapshot in self.snapshots.values()
+            if snapshot.is_direct
         }
 
 
-def total(readings: Iterable[Reading]) -> dict[str, account_rows.Row]:
+def sum_rows(
+    snapshots: Iterable[AccountSnapshot],
+) -> dict[str, account_rows.Row]:
     """Return the rows of all accounts, added up by customer."""
     found: dict[str, account_rows.Row] = {}
-    for reading in readings:
-        for name, row in reading.rows.items():
+    for snapshot in snapshots:
+        for name, row in snapshot.rows.items():
             account_rows.add(found.setdefault(name, {}), row)
     return found
--- a/lacewingpitch/entry.py
+++ b/lacewingpitch/entry.py
@@ -168,7 +168,7 @@
         copier = account_copy.AccountCopier(self._node, self._account, holder)
         reader = account_query.AccountReader(self._account, holder, copier)
         control = self._node.control
-        control.handle(account_copy.AccountCopy, holder.take)
+        control.handle(account_copy.AccountCopy, holder.merge)
         control.handle(account_query.AccountRequest, reader.answer)
         copier.start()
         self._exits.push_async_callback(copier.close, _FINAL_COPY_TIMEOUT_S)
@@ -205,7 +205,7 @@
     ) -> web.StreamResponse:
         request_id = str(uuid_utils.uuid7())
         http_guard.bind_request_id(request_id)
-        with self._account.counted(request_id) as tally:
+        with self._account.track_request(request_id) as tally:
             request[_TALLY] = tally
             try:
                 self._check_accepting()
@@ -213,10 +213,10 @@
                     request, handler, request_id
                 )
             except errors.RefusalError as error:
-                tally.refused(error)
+                tally.record_error(error)
                 response = response_format.refusal_response(error, request_id)
             await http_guard.finish_response(request, response)
-            tally.delivered()
+            tally.record_delivery()
         return response
 
     async def _authenticate_and_handle(
--- a/lacewingpitch/metrics.py
+++ b/lacewingpitch/metrics.py
@@ -66,9 +66,9 @@
 
         self._readers.append(update)
 
-    def seconds(self, name: str, doc: str) -> 'Seconds':
+    def duration_histogram(self, name: str, doc: str) -> 'DurationHistogram':
         """Offer a distribution of times."""
-        return Seconds(
+        return DurationHistogram(
             aioprometheus.Histogram(
                 f'lacewingpitch_{name}',
                 doc,
@@ -96,7 +96,7 @@
         )
 
 
-class Seconds:
+class DurationHistogram:
     """A distribution of times, told apart by one label."""
 
     def __init__(self, histogram: aioprometheus.Histogram) -> None:
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -74,7 +74,7 @@
         self.ejector = ejection.Ejector(
             self._process.clock, self._process.random
         )
-        self._first_event_times = self._process.metrics.seconds(
+        self._first_event_times = self._process.metrics.duration_histogram(
             'first_event_seconds',
             'Time from a request to the first event of its stream.',
         )
@@ -122,7 +122,7 @@
         self.frontend = frontend_module.Frontend(
             self._process.table,
             self._serve,
-            self._process.metrics.seconds(
+            self._process.metrics.duration_histogram(
                 'request_seconds', 'Time from a request to its end.'
             ),
             startup_grace.StartupGrace(self._process.clock),
--- a/lacewingpitch/platform/frontend.py
+++ b/lacewingpitch/platform/frontend.py
@@ -80,7 +80,7 @@
         self,
         table: routing.RoutingTable,
         serve: RequestHandler,
-        request_times: metrics_module.Seconds,
+        request_times: metrics_module.DurationHistogram,
         startup_grace: startup_grace_module.StartupGrace,
         clock: clock_module.Clock,
         authenticator: authentication_module.Authenticator,
--- a/lacewingpitch/report.py
+++ b/lacewingpitch/report.py
@@ -11,18 +11,18 @@
 from lacewingpitch import account as account_module
 from lacewingpitch import account_counters
 from lacewingpitch import account_query
-from lacewingpitch import account_readings
 from lacewingpitch import account_rows
+from lacewingpitch import collected_accounts
 from lacewingpitch import errors
 from lacewingpitch import live_list
 from lacewingpitch import node as node_module
 from lacewingpitch import report_content
 from lacewingpitch import report_gaps
 
-_ASK_TIMEOUT_S = 1.0
+_REQUEST_TIMEOUT_S = 1.0
 _FETCH_TIMEOUT_S = 30.0
-_MAX_ASKING = 16
-_REFUSALS = {
+_MAX_CONCURRENT_REQUESTS = 16
+_REASONS_BY_STATUS = {
     401: 'the token is neither that of the operators nor the API key of'
     ' the customer named',
     404: 'no report here, or the customer named has no contract',
@@ -36,7 +36,7 @@
     generated_at_s: float
     generated_by: str
     customer: str | None
-    services: tuple[report_content.CustomerService, ...]
+    services: tuple[report_content.CustomerSummary, ...]
     hidden_count: int
     sources: tuple[report_content.Source, ...]
     gaps: tuple[report_gaps.Gap, ...]
@@ -60,7 +60,7 @@
     ) -> None:
         self._node = node
         self._reader = reader
-        self._asking = asyncio.Semaphore(_MAX_ASKING)
+        self._request_semaphore = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
 
     async def assemble(
         self, customer: str | None = None, limit: int | None = None
@@ -70,50 +70,52 @@
         With a `limit`, only so many customers, those with the most
         requests.
         """
-        found = account_readings.Readings()
+        collected = collected_accounts.CollectedAccounts()
         peers = self._other_entries()
         await asyncio.gather(
-            self._read_own(found, customer),
-            *(self._read_peer(found, peer, customer) for peer in peers),
+            self._read_own(collected, customer),
+            *(self._read_peer(collected, peer, customer) for peer in peers),
         )
         await asyncio.gather(
             *(
-                self._read_copies(found, account_id, customer)
-                for account_id in found.holders
-                if not found.reading(account_id).is_direct
+                self._read_copies(collected, account_id, customer)
+                for account_id in collected.holders
+                if not collected.snapshot(account_id).is_direct
             )
         )
         # For thousands of customers this takes seconds, which the streams
         # that pass through this process would see as a gap.
         return await asyncio.to_thread(
-            self._make_report, found, customer, limit
+            self._make_report, collected, customer, limit
         )
 
     async def _read_own(
-        self, found: account_readings.Readings, customer: str | None
+        self,
+        collected: collected_accounts.CollectedAccounts,
+        customer: str | None,
     ) -> None:
-        await self._read_pages(found, None, None, customer)
+        await self._read_pages(collected, None, None, customer)
 
     async def _read_peer(
         self,
-        found: account_readings.Readings,
+        collected: collected_accounts.CollectedAccounts,
         peer: live_list.Instance,
         customer: str | None,
     ) -> None:
         try:
-            await self._read_pages(found, peer, None, customer)
+            await self._read_pages(collected, peer, None, customer)
         except errors.LinkError as error:
             log.info('account not read', instance=peer.name, error=str(error))
 
     async def _read_copies(
         self,
-        found: account_readings.Readings,
+        collected: collected_accounts.CollectedAccounts,
         account_id: account_module.AccountId,
         customer: str | None,
     ) -> None:
-        for peer in found.holders[account_id]:
+        for peer in collected.holders[account_id]:
             try:
-                await self._read_pages(found, peer, account_id, customer)
+                await self._read_pages(collected, peer, account_id, customer)
             except errors.LinkError as error:
                 log.info(
                     'copy not read',
@@ -123,7 +125,7 @@
 
     async def _read_pages(
         self,
-        found: account_readings.Readings,
+        collected: collected_accounts.CollectedAccounts,
         peer: live_list.Instance | None,
         account_id: account_module.AccountId | None,
         customer: str | None,
@@ -133,30 +135,30 @@
             request = account_query.AccountRequest(
                 account_id=account_id, customer=customer, after=after
             )
-            reply = await self._ask(peer, request)
-            found.note(reply, peer)
+            reply = await self._request_page(peer, request)
+            collected.record_reply(reply, peer)
             if reply.head is None:
                 return
-            reading = found.reading(reply.head.account_id)
-            reading.merge(reply.rows)
+            snapshot = collected.snapshot(reply.head.account_id)
+            snapshot.merge(reply.rows)
             after = reply.next_after
             if after is None:
                 break
-        # Only now are the rows whole: a reading that broke off keeps what
+        # Only now are the rows whole: a snapshot that broke off keeps what
         # it has, but claims nothing.
-        reading.note(reply.head)
-        reading.is_direct = reading.is_direct or account_id is None
+        snapshot.record_head(reply.head)
+        snapshot.is_direct = snapshot.is_direct or account_id is None
 
-    async def _ask(
+    async def _request_page(
         self,
         peer: live_list.Instance | None,
         request: account_query.AccountRequest,
     ) -> account_query.AccountReply:
         if peer is None:
             return await self._reader.answer(request)
-        async with self._asking:
+        async with self._request_semaphore:
             return await self._node.peers.peer(peer.ip, peer.control_port).ask(
-                request, account_query.AccountReply, _ASK_TIMEOUT_S
+                request, account_query.AccountReply, _REQUEST_TIMEOUT_S
             )
 
     def _other_entries(self) -> list[live_list.Instance]:
@@ -169,22 +171,22 @@
 
     def _make_report(
         self,
-        found: account_readings.Readings,
+        collected: collected_accounts.CollectedAccounts,
         customer: str | None,
         limit: int | None,
     ) -> Report:
         now_s = self._node.clock.wall_s()
-        readings = tuple(found.readings.values())
-        total = account_readings.total(readings)
+        snapshots = tuple(collected.snapshots.values())
+        total = collected_accounts.sum_rows(snapshots)
         if customer is not None:
             total = {customer: total.get(customer, {})}
-        shown = _most_requests(total, limit)
+        shown = _select_customers(total, limit)
         return Report(
             generated_at_s=now_s,
             generated_by=self._node.settings.instance,
             customer=customer,
             services=tuple(
-                report_content.customer_service(
+                report_content.summarize_customer(
                     name,
                     total[name],
                     self._node.contract_registry.contract(name),
@@ -194,15 +196,16 @@
             ),
             hidden_count=len(total) - len(shown),
             sources=tuple(
-                report_content.source_of(reading) for reading in readings
+                report_content.describe_source(snapshot)
+                for snapshot in snapshots
             ),
             gaps=tuple(
-                report_gaps.find_gaps(found, self._other_entries(), now_s)
+                report_gaps.find_gaps(collected, self._other_entries(), now_s)
             ),
         )
 
 
-def _most_requests(
+def _select_customers(
     total: Mapping[str, account_rows.Row], limit: int | None
 ) -> list[str]:
     if limit is None:
@@ -241,7 +244,7 @@
         reason = str(error) or f'no answer within {_FETCH_TIMEOUT_S:g} s'
         raise errors.PlatformError(f'{url}: {reason}') from error
     if response.status != 200:
-        reason = _REFUSALS.get(response.status, 'no report')
+        reason = _REASONS_BY_STATUS.get(response.status, 'no report')
         raise errors.PlatformError(
             f'{url}{path}: status {response.status}: {reason}'
         )
--- a/lacewingpitch/report_content.py
+++ b/lacewingpitch/report_content.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from lacewingpitch import account_counters
-from lacewingpitch import account_readings
 from lacewingpitch import account_rows
 from lacewingpitch import burn
+from lacewingpitch import collected_accounts
 from lacewingpitch import contract as contract_module
 from lacewingpitch import errors
 
@@ -13,7 +13,7 @@
 _COPY = 'a copy'
 
 
-class Times(msgspec.Struct, frozen=True):
+class LatencySummary(msgspec.Struct, frozen=True):
     """A histogram of times, and the usual points of it."""
 
     count: int
@@ -23,7 +23,7 @@
     count_by_limit_s: dict[str, int]
 
 
-class CustomerService(msgspec.Struct, frozen=True, kw_only=True):
+class CustomerSummary(msgspec.Struct, frozen=True, kw_only=True):
     """What one customer got, over all the instances that were read."""
 
     customer: str
@@ -38,11 +38,11 @@
     stalled_count: int
     stall_s: float
     stall_not_measured_count: int
-    first_token: Times
-    between_tokens: Times
-    load_stall: Times
+    first_token: LatencySummary
+    between_tokens: LatencySummary
+    load_stall: LatencySummary
     burns: tuple[burn.Burn, ...]
-    alerts: tuple[burn.FiredAlert, ...]
+    alerts: tuple[burn.FiringAlert, ...]
 
 
 class Source(msgspec.Struct, frozen=True, kw_only=True):
@@ -68,18 +68,18 @@
     unended_count: int
 
 
-def customer_service(
+def summarize_customer(
     customer: str,
     row: account_rows.Row,
     contract: contract_module.Contract | None,
     now_s: float,
-) -> CustomerService:
+) -> CustomerSummary:
     """Return what a row says, by the objective of the contract."""
     counter = account_counters.Counter
     histogram = account_counters.Histogram
     objective = contract.objective if contract else contract_module.Objective()
-    burns = burn.measure(row, objective, now_s)
-    return CustomerService(
+    burns = burn.measure_burns(row, objective, now_s)
+    return CustomerSummary(
         customer=customer,
         received_count=row.get(counter.RECEIVED, 0),
         served_count=row.get(counter.SERVED, 0),
@@ -96,13 +96,15 @@
         between_tokens=_times(row, histogram.BETWEEN_TOKENS),
         load_stall=_times(row, histogram.LOAD_STALL),
         burns=tuple(burns),
-        alerts=tuple(burn.fired(burns)),
+        alerts=tuple(burn.firing_alerts(burns)),
     )
 
 
-def _times(row: account_rows.Row, of: account_counters.Histogram) -> Times:
+def _times(
+    row: account_rows.Row, of: account_counters.Histogram
+) -> LatencySummary:
     counts = account_counters.histogram(row, of)
-    return Times(
+    return LatencySummary(
         count=sum(counts.values()),
         p50_s=account_counters.quantile_s(counts, 0.5),
         p95_s=account_counters.quantile_s(counts, 0.95),
@@ -114,17 +116,17 @@
     )
 
 
-def source_of(reading: account_readings.Reading) -> Source:
+def describe_source(snapshot: collected_accounts.AccountSnapshot) -> Source:
     """Return what the report says of one account that was read."""
-    account_id = reading.account_id
+    account_id = snapshot.account_id
     return Source(
         instance=account_id.instance,
         incarnation=account_id.incarnation,
         availability_zone=account_id.availability_zone,
         started_at_s=account_id.started_at_s,
-        read_from=_DIRECT if reading.is_direct else _COPY,
-        complete_until_s=reading.complete_until_s,
-        unended_count=sum(_unended(row) for row in reading.rows.values()),
+        read_from=_DIRECT if snapshot.is_direct else _COPY,
+        complete_until_s=snapshot.complete_until_s,
+        unended_count=sum(_unended(row) for row in snapshot.rows.values()),
     )
 
 
--- a/lacewingpitch/report_gaps.py
+++ b/lacewingpitch/report_gaps.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from lacewingpitch import account_query
-from lacewingpitch import account_readings
+from lacewingpitch import collected_accounts
 from lacewingpitch import live_list
 
 
@@ -20,7 +20,7 @@
 
 
 def find_gaps(
-    found: account_readings.Readings,
+    collected: collected_accounts.CollectedAccounts,
     listed: list[live_list.Instance],
     now_s: float,
 ) -> Iterable[Gap]:
@@ -29,33 +29,41 @@
     A report that shows too little and does not say so is worse than
     none: whoever it is handed to takes it for the whole account.
     """
-    names = {entry.name for entry in listed}
-    yield from _unread_parts(found, names, now_s)
-    known = found.reached() | {
-        reading.account_id.instance for reading in found.readings.values()
+    listed_names = {entry.name for entry in listed}
+    yield from _snapshot_gaps(collected, listed_names, now_s)
+    known = collected.reached_instances() | {
+        snapshot.account_id.instance
+        for snapshot in collected.snapshots.values()
     }
     for entry in listed:
         if entry.name not in known:
-            yield _unread_listed(entry, now_s)
-    for gone in found.departed.values():
-        if gone.instance not in known and gone.instance not in names:
-            yield _unread_departed(gone)
-
-
-def _unread_parts(
-    found: account_readings.Readings, names: set[str], now_s: float
+            yield _unreached_gap(entry, now_s)
+    for departed in collected.departed.values():
+        if (
+            departed.instance not in known
+            and departed.instance not in listed_names
+        ):
+            yield _departed_gap(departed)
+
+
+def _snapshot_gaps(
+    collected: collected_accounts.CollectedAccounts,
+    listed_names: set[str],
+    now_s: float,
 ) -> Iterable[Gap]:
-    for reading in found.readings.values():
-        if reading.is_direct:
+    for snapshot in collected.snapshots.values():
+        if snapshot.is_direct:
             continue
-        is_current = _is_latest(reading, found)
-        unreached = is_current and reading.account_id.instance in names
-        if reading.is_final and not unreached:
+        is_current = _is_latest(snapshot, collected)
+        is_unreached = (
+            is_current and snapshot.account_id.instance in listed_names
+        )
+        if snapshot.is_final and not is_unreached:
             continue
-        yield _gap_of(reading, found, unreached, now_s)
+        yield _snapshot_gap(snapshot, collected, is_unreached, now_s)
 
 
-def _unread_listed(entry: live_list.Instance, now_s: float) -> Gap:
+def _unreached_gap(entry: live_list.Instance, now_s: float) -> Gap:
     return Gap(
         instance=entry.name,
         availability_zone=entry.availability_zone,
@@ -65,58 +73,63 @@
     )
 
 
-def _unread_departed(gone: account_query.Departed) -> Gap:
+def _departed_gap(departed: account_query.DepartedEntry) -> Gap:
     return Gap(
-        instance=gone.instance,
-        availability_zone=gone.availability_zone,
-        from_s=gone.started_at_s or None,
-        to_s=gone.gone_at_s,
+        instance=departed.instance,
+        availability_zone=departed.availability_zone,
+        from_s=departed.started_at_s or None,
+        to_s=departed.gone_at_s,
         reason='ended, and no copy of its account was found',
     )
 
 
-def _gap_of(
-    reading: account_readings.Reading,
-    found: account_readings.Readings,
-    unreached: bool,
+def _snapshot_gap(
+    snapshot: collected_accounts.AccountSnapshot,
+    collected: collected_accounts.CollectedAccounts,
+    is_unreached: bool,
     now_s: float,
 ) -> Gap:
-    account_id = reading.account_id
-    is_whole = reading.complete_until_s > 0
-    text = 'not reached' if unreached else 'ended without its last copy'
-    source = 'a copy was read' if is_whole else 'only part of a copy was read'
+    account_id = snapshot.account_id
+    is_complete = snapshot.complete_until_s > 0
+    cause = 'not reached' if is_unreached else 'ended without its last copy'
+    source = (
+        'a copy was read' if is_complete else 'only part of a copy was read'
+    )
     return Gap(
         instance=account_id.instance,
         availability_zone=account_id.availability_zone,
-        from_s=max(reading.complete_until_s, account_id.started_at_s),
-        to_s=now_s if unreached else _ended_before_s(reading, found, now_s),
-        reason=f'{text}; {source}',
+        from_s=max(snapshot.complete_until_s, account_id.started_at_s),
+        to_s=now_s
+        if is_unreached
+        else _latest_end_s(snapshot, collected, now_s),
+        reason=f'{cause}; {source}',
     )
 
 
 def _is_latest(
-    reading: account_readings.Reading, found: account_readings.Readings
+    snapshot: collected_accounts.AccountSnapshot,
+    collected: collected_accounts.CollectedAccounts,
 ) -> bool:
     return not any(
-        other.account_id.instance == reading.account_id.instance
-        and other.account_id.started_at_s > reading.account_id.started_at_s
-        for other in found.readings.values()
+        other.account_id.instance == snapshot.account_id.instance
+        and other.account_id.started_at_s > snapshot.account_id.started_at_s
+        for other in collected.snapshots.values()
     )
 
 
-def _ended_before_s(
-    reading: account_readings.Reading,
-    found: account_readings.Readings,
+def _latest_end_s(
+    snapshot: collected_accounts.AccountSnapshot,
+    collected: collected_accounts.CollectedAccounts,
     now_s: float,
 ) -> float:
-    account_id = reading.account_id
+    account_id = snapshot.account_id
     successors = [
         other.account_id.started_at_s
-        for other in found.readings.values()
+        for other in collected.snapshots.values()
         if other.account_id.instance == account_id.instance
         and other.account_id.started_at_s > account_id.started_at_s
     ]
     if successors:
         return min(successors)
-    departed = found.departed.get(account_id.instance)
+    departed = collected.departed.get(account_id.instance)
     return departed.gone_at_s if departed else now_s
--- a/lacewingpitch/report_page.py
+++ b/lacewingpitch/report_page.py
@@ -45,7 +45,7 @@
     scope = report.customer or 'all customers'
     parts = [
         f'<h1>Account of service: {html.escape(scope)}</h1>',
-        f'<p>As of {report_text.utc(report.generated_at_s)}, assembled'
+        f'<p>As of {report_text.format_utc(report.generated_at_s)}, assembled'
         f' by {html.escape(report.generated_by)} from'
         f' {len(report.sources)} account(s).</p>',
         _gaps(report),
@@ -120,19 +120,19 @@
 
 
 def _answer_cells(
-    service: report_content.CustomerService,
+    service: report_content.CustomerSummary,
 ) -> tuple[object, ...]:
     return (
         report_text.display_name(service.customer),
         service.received_count,
         service.served_count,
-        report_text.kinds(service.refused),
-        report_text.kinds(service.unknown),
-        report_text.kinds(service.partial),
+        report_text.format_kinds(service.refused),
+        report_text.format_kinds(service.unknown),
+        report_text.format_kinds(service.partial),
         service.caller_gone_count,
         service.unended_count,
         service.token_count,
-        report_text.stalls(service),
+        report_text.format_stalls(service),
     )
 
 
@@ -151,9 +151,9 @@
             report_text.display_name(service.customer),
             title,
             found.count,
-            report_text.milliseconds(found.p50_s),
-            report_text.milliseconds(found.p95_s),
-            report_text.milliseconds(found.p99_s),
+            report_text.format_ms(found.p50_s),
+            report_text.format_ms(found.p95_s),
+            report_text.format_ms(found.p99_s),
         )
         for service in _shown(report)
         for title, found in (
@@ -201,7 +201,7 @@
 
 
 def _rate(
-    service: report_content.CustomerService,
+    service: report_content.CustomerSummary,
     subject: burn.Subject,
     window: burn.Window,
 ) -> str:
@@ -214,7 +214,7 @@
 
 
 def _alerts(
-    service: report_content.CustomerService, subject: burn.Subject
+    service: report_content.CustomerSummary, subject: burn.Subject
 ) -> str:
     return '\n'.join(
         f'{alert.severity} ({alert.long_window})'
@@ -228,9 +228,9 @@
         (
             source.instance,
             source.availability_zone,
-            report_text.utc(source.started_at_s),
+            report_text.format_utc(source.started_at_s),
             source.read_from,
-            report_text.utc(source.complete_until_s)
+            report_text.format_utc(source.complete_until_s)
             if source.complete_until_s
             else 'not known',
             source.unended_count,
@@ -253,7 +253,7 @@
 
 def _shown(
     report: report_module.Report,
-) -> list[report_content.CustomerService]:
+) -> list[report_content.CustomerSummary]:
     ranked = sorted(
         report.services, key=lambda s: (-s.received_count, s.customer)
     )
--- a/lacewingpitch/report_plots.py
+++ b/lacewingpitch/report_plots.py
@@ -34,7 +34,7 @@
     'legend_at_bottom': True,
     'width': 640,
 }
-_Count = Callable[[report_content.CustomerService], int]
+_Count = Callable[[report_content.CustomerSummary], int]
 _OUTCOMES: tuple[tuple[str, _Count], ...] = (
     ('served', lambda s: s.served_count),
     ('refused', lambda s: sum(s.refused.values())),
@@ -44,7 +44,7 @@
 )
 
 
-def draw(services: list[report_content.CustomerService]) -> list[str]:
+def draw(services: list[report_content.CustomerSummary]) -> list[str]:
     """Return the plots of some customers, the first ones of a long list."""
     services = services[:_MAX_BARS]
     if not services:
@@ -64,7 +64,7 @@
     return [chart for chart in charts if chart]
 
 
-def _outcome_chart(services: list[report_content.CustomerService]) -> str:
+def _outcome_chart(services: list[report_content.CustomerSummary]) -> str:
     chart = pygal.HorizontalStackedBar(
         title='Share of requests by outcome (%)',
         height=140 + 40 * len(services),
@@ -86,7 +86,7 @@
     return _svg(chart)
 
 
-def _burn_chart(services: list[report_content.CustomerService]) -> str:
+def _burn_chart(services: list[report_content.CustomerSummary]) -> str:
     if not any(any(_served_rates(service)) for service in services):
         return ''
     chart = pygal.Bar(
@@ -102,7 +102,7 @@
 
 
 def _served_rates(
-    service: report_content.CustomerService,
+    service: report_content.CustomerSummary,
 ) -> list[float | None]:
     return [
         found.burn_rate
@@ -112,7 +112,7 @@
 
 
 def _time_chart(
-    title: str, times: list[tuple[str, report_content.Times]]
+    title: str, times: list[tuple[str, report_content.LatencySummary]]
 ) -> str:
     times = times[:_MAX_LINES]
     limits = sorted({float(x) for _, t in times for x in t.count_by_limit_s})
@@ -141,7 +141,9 @@
     return f'{time_ms:.3g}' if time_ms < _WHOLE_FROM_MS else f'{time_ms:.0f}'
 
 
-def _shares(times: report_content.Times, limits: list[float]) -> list[float]:
+def _shares(
+    times: report_content.LatencySummary, limits: list[float]
+) -> list[float]:
     seen = 0
     shares = []
     for limit in limits:
--- a/lacewingpitch/report_server.py
+++ b/lacewingpitch/report_server.py
@@ -17,9 +17,9 @@
 from lacewingpitch import report as report_module
 from lacewingpitch import report_page
 
-REUSE_S = 2.0
-_MAX_ASSEMBLING = 2
-_MAX_KEPT = 64
+CACHE_TTL_S = 2.0
+_MAX_CONCURRENT_REPORTS = 2
+_MAX_CACHED_REPORTS = 64
 _BEARER = 'Bearer '
 _BASIC = 'Basic '
 _CHALLENGE = {'WWW-Authenticate': 'Basic realm="account of service"'}
@@ -59,8 +59,8 @@
         self._registry = registry
         self._operator_token_digest = operator_token_digest
         self._clock = clock
-        self._assembling = asyncio.Semaphore(_MAX_ASSEMBLING)
-        self._kept: collections.OrderedDict[
+        self._assembly_semaphore = asyncio.Semaphore(_MAX_CONCURRENT_REPORTS)
+        self._cache: collections.OrderedDict[
             tuple[str | None, int | None], tuple[float, report_module.Report]
         ] = collections.OrderedDict()
 
@@ -70,15 +70,18 @@
         server.route('GET', '/report/customers/{name}', self._one_customer)
 
     async def _all_customers(self, request: web.Request) -> web.Response:
-        if not self._is_operator(_token_of(request)):
-            return _refuse()
+        if not self._is_operator(_request_token(request)):
+            return _unauthorized_response()
         return await self._answer(request, None)
 
     async def _one_customer(self, request: web.Request) -> web.Response:
         name = request.match_info['name']
-        token = _token_of(request)
-        if not self._is_operator(token) and self._customer(token) != name:
-            return _refuse()
+        token = _request_token(request)
+        if (
+            not self._is_operator(token)
+            and self._authenticate_customer(token) != name
+        ):
+            return _unauthorized_response()
         if self._registry.contract(name) is None:
             return web.Response(status=404, text='no such customer\n')
         return await self._answer(request, name)
@@ -88,7 +91,7 @@
     ) -> web.Response:
         is_json = request.query.get('format') == 'json'
         limit = None if is_json else report_page.MAX_CUSTOMERS
-        report = await self._report(customer, limit)
+        report = await self._get_report(customer, limit)
         if is_json:
             return web.Response(
                 body=msgspec.json.encode(report),
@@ -102,23 +105,23 @@
             text=page, content_type='text/html', headers=_PAGE_HEADERS
         )
 
-    async def _report(
+    async def _get_report(
         self, customer: str | None, limit: int | None
     ) -> report_module.Report:
         # A report asks every entry.  A caller that reloads it over and
         # over would multiply that load by the fleet, so reports are
         # reused for a while and few are assembled at a time.
-        async with self._assembling:
+        async with self._assembly_semaphore:
             key = (customer, limit)
-            kept = self._kept.get(key)
+            cached = self._cache.get(key)
             now_s = self._clock.monotonic_s()
-            if kept is not None and now_s - kept[0] < REUSE_S:
-                return kept[1]
+            if cached is not None and now_s - cached[0] < CACHE_TTL_S:
+                return cached[1]
             report = await self._reporter.assemble(customer, limit)
-            self._kept[key] = (self._clock.monotonic_s(), report)
-            self._kept.move_to_end(key)
-            while len(self._kept) > _MAX_KEPT:
-                self._kept.popitem(last=False)
+            self._cache[key] = (self._clock.monotonic_s(), report)
+            self._cache.move_to_end(key)
+            while len(self._cache) > _MAX_CACHED_REPORTS:
+                self._cache.popitem(last=False)
             return report
 
     def _is_operator(self, token: str) -> bool:
@@ -128,14 +131,14 @@
             contract_module.digest_key(token), self._operator_token_digest
         )
 
-    def _customer(self, token: str) -> str | None:
+    def _authenticate_customer(self, token: str) -> str | None:
         try:
             return self._registry.authenticate(token).customer
         except errors.RefusalError:
             return None
 
 
-def _token_of(request: web.Request) -> str:
+def _request_token(request: web.Request) -> str:
     header = request.headers.get('Authorization', '')
     if header.startswith(_BEARER):
         return header.removeprefix(_BEARER)
@@ -149,7 +152,7 @@
         return ''
 
 
-def _refuse() -> web.Response:
+def _unauthorized_response() -> web.Response:
     # One answer for a wrong token and for another's name, so that it
     # does not tell which customers there are.
     return web.Response(status=401, text='not allowed\n', headers=_CHALLENGE)
--- a/lacewingpitch/report_text.py
+++ b/lacewingpitch/report_text.py
@@ -17,7 +17,7 @@
     burn.Subject.FIRST_TOKEN: 'first token in time',
     burn.Subject.BETWEEN_TOKENS: 'tokens after it in time',
 }
-_MAX_SIDE_BY_SIDE = 3
+_MAX_TRANSPOSED_CUSTOMERS = 3
 _TABLE_WINDOWS = ('5 min', '1 h')
 _COLUMNS = (
     'customer',
@@ -41,15 +41,15 @@
 ) -> None:
     """Print a report as tables, its gaps first."""
     console.print(
-        f'Account of service at {utc(report.generated_at_s)},'
+        f'Account of service at {format_utc(report.generated_at_s)},'
         f' assembled by {report.generated_by}'
     )
     for gap in report.gaps:
         console.print(f'[bold red]GAP[/] {describe_gap(gap)}')
     if not report.gaps:
         console.print('No gaps: every known instance was read.')
-    if 0 < len(report.services) <= _MAX_SIDE_BY_SIDE:
-        console.print(_side_by_side(report.services))
+    if 0 < len(report.services) <= _MAX_TRANSPOSED_CUSTOMERS:
+        console.print(_transposed_table(report.services))
         return
     table = rich.table.Table(*_COLUMNS)
     for service in report.services:
@@ -57,8 +57,8 @@
     console.print(table)
 
 
-def _side_by_side(
-    services: Iterable[report_content.CustomerService],
+def _transposed_table(
+    services: Iterable[report_content.CustomerSummary],
 ) -> rich.table.Table:
     # Thirteen columns do not fit a terminal; a few customers do.
     columns = [
@@ -72,7 +72,7 @@
     return table
 
 
-def _burn_cells(service: report_content.CustomerService) -> tuple[str, ...]:
+def _burn_cells(service: report_content.CustomerSummary) -> tuple[str, ...]:
     return tuple(
         '\n'.join(
             f'{found.burn_rate:.1f} over {found.window}'
@@ -88,20 +88,20 @@
 
 def describe_gap(gap: report_gaps.Gap) -> str:
     """Return a gap as a sentence."""
-    start = 'an unknown time' if gap.from_s is None else utc(gap.from_s)
-    end = 'an unknown time' if gap.to_s is None else utc(gap.to_s)
+    start = 'an unknown time' if gap.from_s is None else format_utc(gap.from_s)
+    end = 'an unknown time' if gap.to_s is None else format_utc(gap.to_s)
     return (
         f'{gap.instance} ({gap.availability_zone}): {gap.reason}.'
         f' Answers from {start} to {end} may be missing.'
     )
 
 
-def utc(time_s: float) -> str:
+def format_utc(time_s: float) -> str:
     """Return a time as text, for readers in any time zone."""
     return time.strftime('%Y-%m-%d %H:%M:%S UTC', time.gmtime(time_s))
 
 
-def milliseconds(time_s: float | None) -> str:
+def format_ms(time_s: float | None) -> str:
     """Return a time in milliseconds, or a dash for none."""
     return '-' if time_s is None else f'{time_s * 1000:.0f} ms'
 
@@ -111,31 +111,31 @@
     return customer or '(no customer identified)'
 
 
-def _cells(service: report_content.CustomerService) -> tuple[str, ...]:
+def _cells(service: report_content.CustomerSummary) -> tuple[str, ...]:
     return (
         display_name(service.customer),
         str(service.received_count),
         str(service.served_count),
-        kinds(service.refused),
-        kinds(service.unknown),
-        kinds(service.partial),
+        format_kinds(service.refused),
+        format_kinds(service.unknown),
+        format_kinds(service.partial),
         str(service.caller_gone_count),
         str(service.unended_count),
         str(service.token_count),
-        stalls(service),
-        milliseconds(service.first_token.p95_s),
-        milliseconds(service.between_tokens.p95_s),
-        alerts(service),
+        format_stalls(service),
+        format_ms(service.first_token.p95_s),
+        format_ms(service.between_tokens.p95_s),
+        format_alerts(service),
     )
 
 
-def kinds(counts: Mapping[str, int]) -> str:
+def format_kinds(counts: Mapping[str, int]) -> str:
     """Return counts by kind as text."""
     found = (f'{kind} {count}' for kind, count in sorted(counts.items()))
     return '\n'.join(found) or '0'
 
 
-def stalls(service: report_content.CustomerService) -> str:
+def format_stalls(service: report_content.CustomerSummary) -> str:
     """Return the load stalls as text, with how many were not measured."""
     text = f'{service.stalled_count} ({service.stall_s:.1f} s)'
     if service.stall_not_measured_count:
@@ -143,7 +143,7 @@
     return text
 
 
-def alerts(service: report_content.CustomerService) -> str:
+def format_alerts(service: report_content.CustomerSummary) -> str:
     """Return the alerts that fire as text."""
     found = (
         f'{alert.severity}: {alert.subject} over {alert.long_window}'
--- a/lacewingpitch/turn_metrics.py
+++ b/lacewingpitch/turn_metrics.py
@@ -20,10 +20,10 @@
         self, queue: turn_queue.TurnQueue, metrics: metrics_module.Metrics
     ) -> None:
         self._queue = queue
-        self._wait_times = metrics.seconds(
+        self._wait_times = metrics.duration_histogram(
             'turn_wait_seconds', 'Time that granted turns were waited for.'
         )
-        self._wait_errors = metrics.seconds(
+        self._wait_errors = metrics.duration_histogram(
             'wait_error_seconds',
             'Difference between expected and real wait, by its part.',
         )
--- a/tests/account_fleet.py
+++ b/tests/account_fleet.py
@@ -63,15 +63,15 @@
         if found is None or {self.name, found.name} & self.fleet.cut_off:
             raise errors.LinkError('no reply')
         if isinstance(message, account_copy.AccountCopy):
-            return await found.holder.take(message)
+            return await found.holder.merge(message)
         return await found.reader.answer(message)
 
     def serve(self, customer, count=1):
         """Count answers that were served."""
         for _ in range(count):
-            with self.account.counted('id') as tally:
+            with self.account.track_request('id') as tally:
                 self.account.identify(tally, self.fleet.contract(customer))
-                tally.delivered()
+                tally.record_delivery()
 
 
 class Fleet:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -32,8 +32,8 @@
 
 def refuse(kind):
     def ends(tally):
-        tally.refused(errors.RefusalError(kind, ''))
-        tally.delivered()
+        tally.record_error(errors.RefusalError(kind, ''))
+        tally.record_delivery()
 
     return ends
 
@@ -46,9 +46,9 @@
 
 
 ENDS = [
-    lambda tally: tally.delivered(),
-    lambda tally: (tally.cut(), tally.delivered()),
-    lambda tally: tally.wrote(3),
+    lambda tally: tally.record_delivery(),
+    lambda tally: (tally.record_truncation(), tally.record_delivery()),
+    lambda tally: tally.record_events(3),
     *map(refuse, errors.ErrorKind),
     raise_error(asyncio.CancelledError()),
     raise_error(ConnectionResetError()),
@@ -57,7 +57,7 @@
 
 
 def play(account, ends, is_known):
-    with account.counted('id') as tally:
+    with account.track_request('id') as tally:
         if is_known:
             account.identify(tally, HANEUL)
         ends(tally)
@@ -88,7 +88,7 @@
 
     def test_request_in_progress_is_received_and_not_ended(self):
         account = new_account()
-        with account.counted('id') as tally:
+        with account.track_request('id') as tally:
             account.identify(tally, HANEUL)
             row = account.rows.row('haneul')
             assert row[account_counters.Counter.RECEIVED] == 1
@@ -126,12 +126,12 @@
     def test_first_token_and_gaps(self):
         source = clocks.ManualClock(clocks.WALL_START_S)
         account = new_account(source)
-        with account.counted('id') as tally:
+        with account.track_request('id') as tally:
             account.identify(tally, HANEUL)
             for wait_s, events in ((0.7, 1), (0.02, 3), (0.1, 1), (0, 0)):
                 source.now_s += wait_s
-                tally.wrote(events)
-            tally.delivered()
+                tally.record_events(events)
+            tally.record_delivery()
         row = account.rows.row('haneul')
         histogram = account_counters.Histogram
         first = account_counters.histogram(row, histogram.FIRST_TOKEN)
@@ -162,9 +162,9 @@
     )
     def test_load_stall_header(self, header, stalled, not_measured):
         account = new_account()
-        with account.counted('id') as tally:
-            tally.stalled(header)
-            tally.delivered()
+        with account.track_request('id') as tally:
+            tally.record_load_stall(header)
+            tally.record_delivery()
         row = account.rows.row(account_module.UNIDENTIFIED)
         counter = account_counters.Counter
         assert row.get(counter.STALLED, 0) == stalled
@@ -206,7 +206,7 @@
                 table.sweep(step, 0.0)
                 continue
             customer, number = step
-            account_rows.add(table.writable(customer), {number: 1})
+            account_rows.add(table.writable_row(customer), {number: 1})
             account_rows.add(plain.setdefault(customer, {}), {number: 1})
         assert {c: dict(table.row(c)) for c in table} == plain
         assert len(table) == len(plain)
--- a/tests/test_account_copy.py
+++ b/tests/test_account_copy.py
@@ -42,7 +42,7 @@
     def next_copy(self, max_bytes=account_copy.MAX_BATCH_BYTES):
         self.now_s += 1
         self.past[self.now_s] = self.snapshot()
-        self.backlog.note(self.account.take_changes(), self.now_s)
+        self.backlog.record_changes(self.account.pop_changes(), self.now_s)
         head = account_copy.AccountHead(
             account_id=OWNER, complete_until_s=self.now_s
         )
@@ -50,7 +50,7 @@
 
     async def exchange(self, **fields):
         message = self.next_copy(**fields)
-        self.backlog.confirm(message, await self.holder.take(message))
+        self.backlog.confirm(message, await self.holder.merge(message))
 
     def held(self):
         return self.holder.account(OWNER)
@@ -94,25 +94,27 @@
     def delivered(self, max_bytes):
         message = self.link.next_copy(max_bytes)
         self.sent.append(message)
-        self.link.backlog.confirm(message, run(self.link.holder.take(message)))
+        self.link.backlog.confirm(
+            message, run(self.link.holder.merge(message))
+        )
 
     @stateful.rule(max_bytes=strategies.sampled_from([1, 40, 1536]))
     def lost(self, max_bytes):
         message = self.link.next_copy(max_bytes)
         self.sent.append(message)
-        self.link.backlog.lost(message)
+        self.link.backlog.requeue(message)
 
     @stateful.rule(max_bytes=strategies.sampled_from([1, 40, 1536]))
     def reply_lost(self, max_bytes):
         message = self.link.next_copy(max_bytes)
-        run(self.link.holder.take(message))
-        self.link.backlog.lost(message)
+        run(self.link.holder.merge(message))
+        self.link.backlog.requeue(message)
 
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(data=strategies.data())
     def late_again(self, data):
         message = data.draw(strategies.sampled_from(self.sent))
-        run(self.link.holder.take(message))
+        run(self.link.holder.merge(message))
 
     @stateful.rule()
     def holder_restarts(self):
@@ -183,7 +185,7 @@
         await link.exchange()
         other = account_module.AccountId('entry-9', 'x', 'zone-b', 0.0)
         head = account_copy.AccountHead(account_id=other)
-        await link.holder.take(account_copy.make_copy(head, {}))
+        await link.holder.merge(account_copy.make_copy(head, {}))
         assert link.held() is None
         await link.exchange()
         assert link.held().complete_until_s == 0.0
@@ -196,7 +198,7 @@
             )
             head = account_copy.AccountHead(account_id=account_id)
             rows = {f'c{customer}': {1: 1} for customer in range(4)}
-            await holder.take(account_copy.make_copy(head, rows))
+            await holder.merge(account_copy.make_copy(head, rows))
         assert [h.account_id.instance for h in holder.accounts] == [
             'entry-3',
             'entry-4',
@@ -223,10 +225,11 @@
         for _ in range(100):
             message = link.next_copy()
             size = sum(
-                account_copy._row_bytes(c, r) for c, r in message.rows.items()
+                account_copy._estimate_row_bytes(c, r)
+                for c, r in message.rows.items()
             )
             assert size <= account_copy.MAX_BATCH_BYTES + 100
-            link.backlog.confirm(message, await link.holder.take(message))
+            link.backlog.confirm(message, await link.holder.merge(message))
         assert link.held_rows() == link.snapshot()
 
     def test_only_what_changed_is_sent(self):
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -24,13 +24,13 @@
     row = {}
     for age_s, failed in found:
         signals = {burn.Signal.ANSWERS: 1, burn.Signal.FAILED: int(failed)}
-        account_rows.add(row, burn.increments(NOW_S - age_s, signals))
+        account_rows.add(row, burn.slot_increments(NOW_S - age_s, signals))
     return row
 
 
 def recompute(found, window):
     """Count plainly: whole slots, from the one that the window reaches."""
-    slot_s = burn.LEVELS[window.level].slot_s
+    slot_s = burn.RESOLUTIONS[window.resolution].slot_s
     start_s = (NOW_S - window.length_s) // slot_s * slot_s
     inside = [failed for age_s, failed in found if NOW_S - age_s >= start_s]
     return len(inside), sum(inside)
@@ -41,7 +41,7 @@
     def test_equals_plain_recomputation(self, found):
         burns = {
             b.window: b
-            for b in burn.measure(row_of(found), OBJECTIVE, NOW_S)
+            for b in burn.measure_burns(row_of(found), OBJECTIVE, NOW_S)
             if b.subject is burn.Subject.SERVED
         }
         for window in burn.WINDOWS:
@@ -59,10 +59,10 @@
     @given(events)
     def test_dropping_expired_slots_changes_no_window(self, found):
         row = row_of(found)
-        before = burn.measure(row, OBJECTIVE, NOW_S)
-        for number in burn.expired(row, NOW_S):
+        before = burn.measure_burns(row, OBJECTIVE, NOW_S)
+        for number in burn.expired_counters(row, NOW_S):
             del row[number]
-        assert burn.measure(row, OBJECTIVE, NOW_S) == before
+        assert burn.measure_burns(row, OBJECTIVE, NOW_S) == before
 
 
 class TestBound:
@@ -71,13 +71,13 @@
         for minute in range(31 * 24 * 60):
             at_s = NOW_S + 60.0 * minute
             signals = dict.fromkeys(burn.Signal, 1)
-            account_rows.add(row, burn.increments(at_s, signals))
+            account_rows.add(row, burn.slot_increments(at_s, signals))
             if minute % 60 == 0:
-                for number in burn.expired(row, at_s):
+                for number in burn.expired_counters(row, at_s):
                     del row[number]
-        for number in burn.expired(row, at_s):
+        for number in burn.expired_counters(row, at_s):
             del row[number]
-        slots = sum(lv.kept_s // lv.slot_s + 2 for lv in burn.LEVELS)
+        slots = sum(r.retention_s // r.slot_s + 2 for r in burn.RESOLUTIONS)
         assert len(row) <= slots * len(burn.Signal)
 
 
@@ -86,22 +86,22 @@
         old = [(3000.0, True)] * 50
         assert not [
             alert
-            for alert in burn.fired(
-                burn.measure(row_of(old), OBJECTIVE, NOW_S)
+            for alert in burn.firing_alerts(
+                burn.measure_burns(row_of(old), OBJECTIVE, NOW_S)
             )
             if alert.long_window == '1 h'
         ]
         burning = old + [(10.0, True)] * 50
         assert [
             alert
-            for alert in burn.fired(
-                burn.measure(row_of(burning), OBJECTIVE, NOW_S)
+            for alert in burn.firing_alerts(
+                burn.measure_burns(row_of(burning), OBJECTIVE, NOW_S)
             )
             if alert.long_window == '1 h' and alert.severity == 'page'
         ]
 
     def test_nothing_counted_fires_nothing(self):
-        assert not burn.fired(burn.measure({}, OBJECTIVE, NOW_S))
+        assert not burn.firing_alerts(burn.measure_burns({}, OBJECTIVE, NOW_S))
 
     def test_limits_of_the_contract_spend_no_budget(self):
         assert not burn.spends_budget(errors.ErrorKind.RATE_LIMITED)
--- a/tests/test_platform_frontend.py
+++ b/tests/test_platform_frontend.py
@@ -52,7 +52,9 @@
         self.frontend = frontend_module.Frontend(
             self.table,
             self._serve,
-            metrics.Metrics('edge-1', 'zone-a').seconds('s', 'Times.'),
+            metrics.Metrics('edge-1', 'zone-a').duration_histogram(
+                's', 'Times.'
+            ),
             startup_grace.StartupGrace(system_clock),
             system_clock,
             authentication.Authenticator(
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -98,7 +98,7 @@
             owner.copier.own_head(),
             {'haneul': dict(owner.account.rows.row('haneul'))},
         )
-        await fleet.entries['entry-1'].holder.take(late)
+        await fleet.entries['entry-1'].holder.merge(late)
         await fleet.rounds(4)
         held = fleet.entries['entry-2'].holder.account(
             owner.account.account_id
@@ -156,7 +156,7 @@
     async def test_instance_that_left_the_list_without_any_copy(self):
         fleet = account_fleet.Fleet()
         for found in fleet.entries.values():
-            found.copier._note_departed()
+            found.copier._record_departed()
         fleet.kill('entry-2').serve('haneul')
         fleet.unlist('entry-2')
         await fleet.rounds()
@@ -221,11 +221,11 @@
     async def test_needs_nothing_from_elsewhere(self):
         fleet = account_fleet.Fleet()
         for found in fleet.entries.values():
-            with found.account.counted('id') as tally:
+            with found.account.track_request('id') as tally:
                 found.account.identify(tally, fleet.contract('haneul'))
                 for _ in range(4):
-                    tally.wrote(1)
-                tally.delivered()
+                    tally.record_events(1)
+                tally.record_delivery()
         page = report_page.render(
             await fleet.entries['entry-0'].reporter.assemble()
         )
@@ -238,11 +238,11 @@
         """A manager reads '6.55e+04' below the plot of slow answers."""
         fleet = account_fleet.Fleet(1)
         found = fleet.entries['entry-0']
-        with found.account.counted('id') as tally:
+        with found.account.track_request('id') as tally:
             found.account.identify(tally, fleet.contract('haneul'))
             fleet.clock.now_s += 60.0
-            tally.wrote(1)
-            tally.delivered()
+            tally.record_events(1)
+            tally.record_delivery()
         page = report_page.render(await found.reporter.assemble())
         assert '>65536<' in page
         assert 'e+' not in page
