--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -276,7 +276,11 @@
         choice = placement.Placement(clock_module.SystemClock())
         choices.append(
             slopes.least_us(
-                len(keys), slopes.for_each, choice.candidates, keys, members
+                len(keys),
+                slopes.for_each,
+                choice.ranked_instances,
+                keys,
+                members,
             )
         )
         requests.append(
@@ -306,7 +310,7 @@
 
 
 def _voters_of(key: str, index: voter.VoterIndex) -> voter.VoterSet:
-    return index.voters_of('customer', key, 'region-0')
+    return index.select_voters('customer', key, 'region-0')
 
 
 def measure_votes():
@@ -350,7 +354,7 @@
         list_age_s=lambda: 0.0,
         max_votes=len(asks),
     )
-    found.take_list(members)
+    found.apply_list(members)
     ahead.ahead_s = _AHEAD_S
     for ask in asks:
         assert found.vote(ask).verdict is voter.Verdict.GRANTED
@@ -367,7 +371,7 @@
     keys = [str(uuid.UUID(int=number + offset)) for number in made]
     found = []
     for key in keys:
-        voters = index.voters_of('customer-0001', key, 'region-0')
+        voters = index.select_voters('customer-0001', key, 'region-0')
         found.append(
             voter.VoteRequest(
                 customer='customer-0001',
@@ -406,12 +410,12 @@
 def count_answer(account: account_module.Account, number: int) -> None:
     """Count one streamed answer of a customer."""
     customer = make_contract(number)
-    with account.counted('id') as tally:
+    with account.track_request('id') as tally:
         account.identify(tally, customer)
-        tally.stalled('0.25')
+        tally.record_load_stall('0.25')
         for _ in range(20):
-            tally.wrote(1)
-        tally.delivered()
+            tally.record_events(1)
+        tally.record_delivery()
 
 
 def make_row() -> account_rows.Row:
@@ -471,7 +475,7 @@
 ) -> account_rows.RowTable:
     table = account_rows.RowTable()
     for number in range(count):
-        table.writable(f'customer-{number:05}').update(row)
+        table.writable_row(f'customer-{number:05}').update(row)
     now_s = clock_module.SystemClock().wall_s()
     for _ in range(sweeps * 2):
         table.sweep(count + 1, now_s)
@@ -492,7 +496,7 @@
         contracts = {c.customer: c for c in map(make_contract, range(count))}
         owning.append(slopes.held_bytes(_owner, contracts, 5))
     times, sizes = [], []
-    sealer = link.Sealer('fleet', 'secret', 'entry-0001')
+    signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
     for count in WANTS:
         contracts = {c.customer: c for c in map(make_contract, range(count))}
         owner = _owner(contracts, 1)
@@ -500,9 +504,9 @@
         numbers = itertools.count(2)
         reply = owner.grant(_ask(held, 'entry-0001', 1))
         ask = _ask(held, 'entry-0001', next(numbers))
-        size = len(sealer.seal_short(ask)) + len(sealer.seal_short(reply))
+        size = len(signer.sign_short(ask)) + len(signer.sign_short(reply))
         sizes.append(size)
-        times.append(slopes.least_us(1, _renew, sealer, owner, held, numbers))
+        times.append(slopes.least_us(1, _renew, signer, owner, held, numbers))
     owners = []
     for count in ENTRIES:
         ownership = _ownership(count)
@@ -585,12 +589,12 @@
     return owner
 
 
-def _renew(sealer, owner, held, numbers) -> None:
+def _renew(signer, owner, held, numbers) -> None:
     asked_s = clock_module.SystemClock().monotonic_s()
-    data = sealer.seal_short(_ask(held, 'entry-0001', next(numbers)))
-    ask = sealer.open(data).decode(limit_lease.LeaseAsk)
-    data = sealer.seal_short(owner.grant(ask))
-    reply = sealer.open(data).decode(limit_lease.LeaseReply)
+    data = signer.sign_short(_ask(held, 'entry-0001', next(numbers)))
+    ask = signer.verify(data).decode(limit_lease.LeaseAsk)
+    data = signer.sign_short(owner.grant(ask))
+    reply = signer.verify(data).decode(limit_lease.LeaseReply)
     for leased, part in zip(held, reply.parts, strict=True):
         leased.apply(part, asked_s)
 
@@ -603,8 +607,8 @@
 
 async def measure_link():
     """One request and its reply over pynng, both ends in this process."""
-    sealer = link.Sealer('fleet', 'secret', 'entry-0001')
-    server = link.ControlServer(sealer)
+    signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
+    server = link.ControlServer(signer)
 
     async def echo(message):
         return message
@@ -614,7 +618,7 @@
     async with contextlib.AsyncExitStack() as exits:
         await server.start('127.0.0.1', 0)
         exits.push_async_callback(server.close)
-        peer = link.Peer(sealer, '127.0.0.1', server.port)
+        peer = link.Peer(signer, '127.0.0.1', server.port)
         exits.callback(peer.close)
         # Sizes take turns, since the machine's speed drifts.
         found = [
@@ -712,7 +716,7 @@
     """Counts messages between gossips, without a network."""
 
     def __init__(self) -> None:
-        self.sealer = link.Sealer('fleet', 'secret', 'entry-0001')
+        self.signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
         self.answers: dict[tuple[str, str], object] = {}
         self.sent_bytes = 0
         self.sent_count = 0
@@ -731,8 +735,8 @@
         wire = self.wire
         reply = await wire.answers[self.ip, type(message).__name__](message)
         wire.sent_count += 1
-        wire.sent_bytes += len(wire.sealer.seal_short(message))
-        wire.sent_bytes += len(wire.sealer.seal_short(reply))
+        wire.sent_bytes += len(wire.signer.sign_short(message))
+        wire.sent_bytes += len(wire.signer.sign_short(reply))
         return reply
 
 
@@ -927,9 +931,9 @@
         ),
         'hashes of the leaves': (digest,),
     }
-    sealer = link.Sealer('fleet', 'secret', 'sidecar-0001')
+    signer = link.MessageSigner('fleet', 'secret', 'sidecar-0001')
     for name, parts in messages.items():
-        size_bytes = sum(len(sealer.seal_short(part)) for part in parts)
+        size_bytes = sum(len(signer.sign_short(part)) for part in parts)
         print(f'{name}: {size_bytes:,} bytes')
 
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -127,7 +127,9 @@
     def _tell_all(self, sender, arrived):
         now_s = self._clock.monotonic_s()
         for name in self._entries.all:
-            if (sender, name) not in self._entries.cut and self._runs(name):
+            if (sender, name) not in self._entries.broken_links and self._runs(
+                name
+            ):
                 self._told[name][sender] = (now_s, arrived)
 
     def _split(self, name):
@@ -283,9 +285,9 @@
                 await asyncio.sleep(5.0)
                 entries.publish(others)
             case 'part':
-                entries.part(others[:3])
+                entries.partition(others[:3])
                 await asyncio.sleep(25.0)
-                entries.cut.clear()
+                entries.broken_links.clear()
             case 'pause':
                 await self._pause(owner, others)
             case 'lag':
@@ -432,11 +434,11 @@
 
     def __init__(self, entries):
         self._entries = entries
-        self._sealer = link.Sealer('bench', 'secret' * 8, 'entry')
+        self._signer = link.MessageSigner('bench', 'secret' * 8, 'entry')
         self.bytes = self.messages = 0
 
     def count(self, message):
-        data = self._sealer.seal_short(message)
+        data = self._signer.sign_short(message)
         self.bytes += len(data)
         self.messages += 1
 
@@ -537,7 +539,7 @@
 
 def measure_message(wants, rounds=300):
     """Return bytes and microseconds of one exchange, both ends."""
-    sealer = link.Sealer('bench', 'secret' * 8, 'entry')
+    signer = link.MessageSigner('bench', 'secret' * 8, 'entry')
     entries = [f'customer-{number}' for number in range(wants)]
     ask = limit_lease.LeaseAsk(
         holder='entry-1',
@@ -554,11 +556,11 @@
             limit_lease.LeaseGrant('', 2, 250, 2, 1, 0) for _ in entries
         )
     )
-    size = len(sealer.seal_short(ask)) + len(sealer.seal_short(reply))
+    size = len(signer.sign_short(ask)) + len(signer.sign_short(reply))
     started_s = time.process_time()
     for _ in range(rounds):
         for message in (ask, reply):
-            sealer.open(sealer.seal_short(message)).decode(type(message))
+            signer.verify(signer.sign_short(message)).decode(type(message))
     return size, (time.process_time() - started_s) / rounds * 1e6
 
 
--- a/lacewingpitch/platform/entry.py
+++ b/lacewingpitch/platform/entry.py
@@ -74,7 +74,7 @@
         self.ejector = ejection.Ejector(
             self._process.clock, self._process.random
         )
-        self._first_event_times = self._process.metrics.seconds(
+        self._first_event_times = self._process.metrics.duration_histogram(
             'first_event_seconds',
             'Time from a request to the first event of its stream.',
         )
@@ -88,7 +88,7 @@
             self._process.exits.enter_context(
                 contextlib.closing(
                     link.PeerPool(
-                        settings_module.sealer(file.settings), _MAX_PEERS
+                        settings_module.signer(file.settings), _MAX_PEERS
                     )
                 )
             ),
@@ -122,7 +122,7 @@
         self.frontend = frontend_module.Frontend(
             self._process.table,
             self._serve,
-            self._process.metrics.seconds(
+            self._process.metrics.duration_histogram(
                 'request_seconds', 'Time from a request to its end.'
             ),
             startup_grace.StartupGrace(self._process.clock),
@@ -186,12 +186,12 @@
             settings.availability_zone,
             process.random,
         )
-        for forget in (
+        for reset in (
             placement.reset_instance,
             services.reset_latency,
             self.ejector.forget,
         ):
-            subscription = self.servers.restarts.subscribe(forget)
+            subscription = self.servers.restarts.subscribe(reset)
             process.exits.callback(subscription.dispose)
         turns = turn_client.TurnClient(
             settings.instance,
@@ -224,7 +224,7 @@
     ) -> None:
         """Request state from other entries, and answer those that start."""
         settings = self._file.settings
-        state = peer_bootstrap.PeerBootstrap(
+        bootstrap = peer_bootstrap.PeerBootstrap(
             self._peers,
             [
                 settings_module.address_of(seed)
@@ -238,13 +238,13 @@
             self._process.clock,
             lambda: store.epoch > 0,
         )
-        self._process.background.run('state', state.run)
+        self._process.background.run('state', bootstrap.run)
         if not settings.control:
             return
         control = link.ControlServer(
-            settings_module.sealer(settings), _MAX_CONTROL_REQUESTS
+            settings_module.signer(settings), _MAX_CONTROL_REQUESTS
         )
-        control.handle(peer_bootstrap.StateRequest, state.answer)
+        control.handle(peer_bootstrap.StateRequest, bootstrap.answer)
         await control.start(*settings_module.split_endpoint(settings.control))
         self._process.exits.push_async_callback(control.close)
 
--- a/lacewingpitch/work.py
+++ b/lacewingpitch/work.py
@@ -17,7 +17,7 @@
 LOAD_STALL_HEADER = 'Lacewingpitch-Load-Stall-S'
 # The revision of the list by which a sidecar leaves, or the word below.
 LEAVING_HEADER = 'Lacewingpitch-Leaving'
-LEAVES_BY_ITSELF = 'true'
+LEAVING_UNLISTED = 'true'
 
 
 class WorkOrder(link.Message, frozen=True):
@@ -81,12 +81,12 @@
     error: Refusal
 
 
-def encode_order(order: WorkOrder, sealer: link.Sealer) -> str:
+def encode_order(order: WorkOrder, signer: link.MessageSigner) -> str:
     """Return a signed order as the text of a header."""
-    return base64.b64encode(sealer.seal(order)).decode('ascii')
+    return base64.b64encode(signer.sign(order)).decode('ascii')
 
 
-def decode_order(text: str, sealer: link.Sealer) -> WorkOrder:
+def decode_order(text: str, signer: link.MessageSigner) -> WorkOrder:
     """Return the order in a header.
 
     Raises
@@ -95,10 +95,10 @@
         It is not an order of this deployment.
     """
     try:
-        opened = sealer.open(base64.b64decode(text, validate=True))
-        if not opened.is_of(WorkOrder):
-            raise errors.LinkError(f'not an order but {opened.kind}')
-        return opened.decode(WorkOrder)
+        message = signer.verify(base64.b64decode(text, validate=True))
+        if not message.has_kind(WorkOrder):
+            raise errors.LinkError(f'not an order but {message.kind}')
+        return message.decode(WorkOrder)
     except (ValueError, RecursionError, errors.LinkError) as error:
         raise errors.RefusalError(
             errors.ErrorKind.FOREIGN_PROCESS, str(error)
@@ -113,7 +113,7 @@
         return None
 
 
-def refusal_of(error: errors.RefusalError) -> Refusal:
+def refusal_from_error(error: errors.RefusalError) -> Refusal:
     """Return what a caller or peer is told of an error."""
     return Refusal(
         kind=error.kind,
@@ -123,7 +123,7 @@
     )
 
 
-def error_of(refusal: Refusal) -> errors.RefusalError:
+def error_from_refusal(refusal: Refusal) -> errors.RefusalError:
     """Return the error that a peer's refusal stands for."""
     return errors.RefusalError(
         refusal.kind,
