--- a/lacewingpitch/checking.py
+++ b/lacewingpitch/checking.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from lacewingpitch import contract as contract_module
-from lacewingpitch import meaning_problems
 from lacewingpitch import published_contracts
+from lacewingpitch import semantic_checks
 from lacewingpitch import settings
-from lacewingpitch import type_problems
+from lacewingpitch import type_checks
 
 
 class Kind(enum.StrEnum):
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Checked:
+class CheckResult:
     """One file or contract: what it holds, and what is wrong with it.
 
     Parameters
@@ -59,12 +59,12 @@
     source: str
     kind: Kind | None
     content: msgspec.Struct | None
-    problems: tuple[type_problems.Problem, ...] = ()
+    problems: tuple[type_checks.Problem, ...] = ()
 
 
 def check_paths(
     paths: Iterable[pathlib.Path], kind: Kind | None = None
-) -> list[Checked]:
+) -> list[CheckResult]:
     """Check files, and the JSON files in folders, each and together.
 
     Parameters
@@ -74,14 +74,16 @@
     kind
         What each file holds; told from its content if ``None``.
     """
-    found: list[Checked] = []
+    found: list[CheckResult] = []
     for path in paths:
         for file in _files(path):
             found += check_file(file, kind)
     return _with_shared_problems(found)
 
 
-def check_file(path: pathlib.Path, kind: Kind | None = None) -> list[Checked]:
+def check_file(
+    path: pathlib.Path, kind: Kind | None = None
+) -> list[CheckResult]:
     """Check one file alone; a shard gives one result per contract."""
     source = str(path)
     try:
@@ -109,18 +111,18 @@
     return found if isinstance(found, list) else None
 
 
-def check_value(value: Any, kind: Kind, source: str) -> Checked:
+def check_value(value: Any, kind: Kind, source: str) -> CheckResult:
     """Check decoded JSON as settings or a contract."""
     struct = _TYPES[kind]
-    problems = list(type_problems.find(value, struct, source))
+    problems = list(type_checks.find_problems(value, struct, source))
     if problems:
-        return Checked(source, kind, None, tuple(problems))
+        return CheckResult(source, kind, None, tuple(problems))
     content = msgspec.convert(value, struct)
     if isinstance(content, contract_module.Contract):
-        problems += meaning_problems.of_contract(content, source)
+        problems += semantic_checks.contract_problems(content, source)
     if isinstance(content, settings.ProcessSettings):
-        problems += meaning_problems.of_settings(content, source)
-    return Checked(source, kind, content, tuple(problems))
+        problems += semantic_checks.settings_problems(content, source)
+    return CheckResult(source, kind, content, tuple(problems))
 
 
 def decodes(value: Any, kind: Kind) -> bool:
@@ -145,12 +147,12 @@
     return [path]
 
 
-def _unreadable(source: str, kind: Kind | None, reason: str) -> Checked:
-    return Checked(
+def _unreadable(source: str, kind: Kind | None, reason: str) -> CheckResult:
+    return CheckResult(
         source,
         kind,
         None,
-        (type_problems.Problem(source, type_problems.ROOT, reason),),
+        (type_checks.Problem(source, type_checks.ROOT, reason),),
     )
 
 
@@ -161,7 +163,7 @@
     return f'Expected an object with one of the fields {fields}'
 
 
-def _with_shared_problems(found: list[Checked]) -> list[Checked]:
+def _with_shared_problems(found: list[CheckResult]) -> list[CheckResult]:
     """Add what is wrong between files, to each file but the first."""
     owners: dict[tuple[str, str], str] = {}
     checked = []
@@ -171,11 +173,11 @@
             owner = owners.setdefault((what, value), item.source)
             if owner != item.source:
                 problems.append(
-                    type_problems.Problem(
+                    type_checks.Problem(
                         item.source,
                         field,
                         f'{what} is also in {owner}',
-                        type_problems.short_json(value),
+                        type_checks.short_json(value),
                     )
                 )
         checked.append(dataclasses.replace(item, problems=tuple(problems)))
--- a/lacewingpitch/contract_diff.py
+++ b/lacewingpitch/contract_diff.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lacewingpitch import contract as contract_module
-from lacewingpitch import type_problems
+from lacewingpitch import type_checks
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
                 ' publish it with "revoked": true',
             ),
         )
-    changes = tuple(_differences(_plain(old), _plain(new), type_problems.ROOT))
+    changes = tuple(_differences(_plain(old), _plain(new), type_checks.ROOT))
     changes += tuple(_version_changes(old, new))
     return ContractChange(customer, changes, _revision_problems(old, new))
 
@@ -105,8 +105,8 @@
                 old.get(name), new.get(name), f'{path}.{name}'
             )
         return lines
-    before = type_problems.short_json(old)
-    return [f'{path}: {before} -> {type_problems.short_json(new)}']
+    before = type_checks.short_json(old)
+    return [f'{path}: {before} -> {type_checks.short_json(new)}']
 
 
 def _plain(value: Any) -> Any:
--- a/lacewingpitch/demo.py
+++ b/lacewingpitch/demo.py
@@ -93,13 +93,13 @@
         """Return the URL that callers reach."""
         return f'http://{IP}:{self.entry.work_port}'
 
-    def runs(self, adapter: str) -> int:
+    def run_count(self, adapter: str) -> int:
         """Return how often an adapter ran: the ground truth."""
         name = f'{adapter}@1'
         return sum(
             run.adapter == name
             for engine in self.engines
-            for run in engine.truth.runs
+            for run in engine.recorded.runs
         )
 
     async def report(self) -> report_module.Report:
--- a/lacewingpitch/demo_traffic.py
+++ b/lacewingpitch/demo_traffic.py
@@ -138,7 +138,7 @@
         await asyncio.sleep(demo.LIST_LAG_S + demo.CLOCK_SKEW_S)
         once = dataclasses.replace(ONCE, key=str(uuid_utils.uuid7()))
         twice = [await caller.send(once), await caller.send(once)]
-        run_count = deployment.runs(once.target)
+        run_count = deployment.run_count(once.target)
         report_text.print_table(await deployment.report(), console)
     console.print(_LOAD_STALL_TEXT)
     for result in results:
--- a/lacewingpitch/meaning_problems.py
+++ b/lacewingpitch/semantic_checks.py
@@ -5,7 +5,7 @@
 
 from lacewingpitch import contract as contract_module
 from lacewingpitch import settings
-from lacewingpitch import type_problems
+from lacewingpitch import type_checks
 
 HTTP_METHODS = frozenset(
     ('GET', 'HEAD', 'OPTIONS', 'POST', 'PUT', 'PATCH', 'DELETE', 'TRACE')
@@ -13,9 +13,9 @@
 _METHODS_TEXT = ', '.join(sorted(HTTP_METHODS))
 
 
-def of_contract(
+def contract_problems(
     contract: contract_module.Contract, source: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     """Yield what decodes in a contract but cannot be meant."""
     yield from _duplicates(
         [grant.name for grant in contract.adapters], source, 'adapters'
@@ -33,9 +33,9 @@
 
 def _digest_problems(
     contract: contract_module.Contract, source: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     if not contract.key_digests and not contract.revoked:
-        yield type_problems.Problem(
+        yield type_checks.Problem(
             source,
             '$.key_digests',
             'Expected at least one digest unless the contract is revoked',
@@ -45,52 +45,52 @@
 
 def _deadline_problems(
     contract: contract_module.Contract, source: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     first_token_s = contract.objective.first_token_s
     if contract.deadline_s < first_token_s:
-        yield type_problems.Problem(
+        yield type_checks.Problem(
             source,
             '$.deadline_s',
             'Expected no less than objective.first_token_s'
             f' ({first_token_s:g})',
-            type_problems.short_json(contract.deadline_s),
+            type_checks.short_json(contract.deadline_s),
         )
 
 
 def _method_problems(
     grant: contract_module.ServiceGrant, source: str, field: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     for method in grant.repeatable_methods:
         if method not in HTTP_METHODS:
-            yield type_problems.Problem(
+            yield type_checks.Problem(
                 source,
                 field,
                 f'Unknown method, allowed are {_METHODS_TEXT}',
-                type_problems.short_json(method),
+                type_checks.short_json(method),
             )
 
 
-def of_settings(
+def settings_problems(
     found: settings.ProcessSettings, source: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     """Yield what decodes in settings but cannot work."""
     if found.work_port and found.work_port == found.control_port:
-        yield type_problems.Problem(
+        yield type_checks.Problem(
             source,
             '$.control_port',
             'Expected another port than work_port',
-            type_problems.short_json(found.control_port),
+            type_checks.short_json(found.control_port),
         )
 
 
 def _duplicates(
     names: Iterable[str], source: str, field: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     for name, count in collections.Counter(names).items():
         if count > 1:
-            yield type_problems.Problem(
+            yield type_checks.Problem(
                 source,
                 f'$.{field}',
                 f'Expected each once, one is there {count} times',
-                type_problems.short_json(name),
+                type_checks.short_json(name),
             )
--- a/lacewingpitch/standin_engine.py
+++ b/lacewingpitch/standin_engine.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineTruth:
+class EngineRecord:
     """Ground truth of an engine, for holding answers against it."""
 
     runs: list[Run] = dataclasses.field(default_factory=list)
@@ -97,7 +97,7 @@
         self.token_s = token_s
         self.answer_tokens = answer_tokens
         self.faults = EngineFaults()
-        self.truth = EngineTruth()
+        self.recorded = EngineRecord()
         self._incarnations = itertools.count(1)
         self._transports: set[asyncio.Transport] = set()
         self._answer_numbers = itertools.count()
@@ -162,11 +162,11 @@
         order = await request.json()
         if not self._passes_fence(order['fencing']):
             return web.Response(status=409)
-        self.truth.loading += 1
+        self.recorded.loading += 1
         try:
             await asyncio.sleep(self.load_s)
         finally:
-            self.truth.loading -= 1
+            self.recorded.loading -= 1
         if self.faults.failing_loads:
             self.faults.failing_loads -= 1
             return web.Response(status=500, text='load failed')
@@ -175,7 +175,7 @@
             if len(self.adapters) >= self.adapter_slots:
                 return web.Response(status=507, text='no free slot')
             self.adapters.add(name)
-        self.truth.loads.append(name)
+        self.recorded.loads.append(name)
         await self._be_late()
         return web.Response()
 
@@ -185,15 +185,15 @@
             return web.Response(status=409)
         name = order['lora_name']
         if self.running[name]:
-            self.truth.evictions_under_run.append(name)
+            self.recorded.evictions_under_run.append(name)
         self.adapters.discard(name)
-        self.truth.evictions.append(name)
+        self.recorded.evictions.append(name)
         await self._be_late()
         return web.Response()
 
     def _passes_fence(self, number: int) -> bool:
         if self.checks_fencing and number < self.last_fencing:
-            self.truth.fenced_orders += 1
+            self.recorded.fenced_orders += 1
             return False
         self.last_fencing = max(self.last_fencing, number)
         return True
@@ -213,7 +213,7 @@
         if self.faults.wrong_adapter:
             adapter = f'not-{adapter}'
         run = Run(request.headers['X-Request-Id'], adapter, body)
-        self.truth.runs.append(run)
+        self.recorded.runs.append(run)
         self._keep(run)
         answering = asyncio.create_task(self._answer(request, run, 0))
         try:
@@ -307,7 +307,7 @@
 
     async def _tell_truth(self, _request: web.Request) -> web.Response:
         return web.Response(
-            body=msgspec.json.encode(self.truth),
+            body=msgspec.json.encode(self.recorded),
             content_type='application/json',
         )
 
--- a/lacewingpitch/type_problems.py
+++ b/lacewingpitch/type_checks.py
@@ -43,7 +43,7 @@
         return f'{text}, got {self.value}' if self.value else text
 
 
-def find(
+def find_problems(
     value: Any, kind: Any, source: str, path: str = ROOT
 ) -> Iterator[Problem]:
     """Yield each place where `value` does not fit the type `kind`."""
@@ -54,7 +54,7 @@
     item = _item_type(kind)
     if item is not None and isinstance(value, list):
         for number, part in enumerate(value):
-            yield from find(part, item, source, f'{path}[{number}]')
+            yield from find_problems(part, item, source, f'{path}[{number}]')
         return
     try:
         msgspec.convert(value, kind)
@@ -113,7 +113,9 @@
     for name, field in fields.items():
         part = value.get(name, _MISSING)
         if part is not _MISSING:
-            for problem in find(part, field.type, source, f'{path}.{name}'):
+            for problem in find_problems(
+                part, field.type, source, f'{path}.{name}'
+            ):
                 before += 1
                 yield problem
         elif field.required:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -376,7 +376,7 @@
     async def truth(self, engine):
         async with self.session.get(engine.url + '/truth') as response:
             return msgspec.json.decode(
-                await response.read(), type=standin_engine.EngineTruth
+                await response.read(), type=standin_engine.EngineRecord
             )
 
     async def service_truth(self, service):
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lacewingpitch import checking
-from lacewingpitch import type_problems
+from lacewingpitch import type_checks
 from tests import samples
 
 Kind = checking.Kind
@@ -182,7 +182,7 @@
         """
         path = write(tmp_path, 'a.json', [])
         (checked,) = checking.check_paths([path], kind)
-        assert fields_of(checked) == [type_problems.ROOT]
+        assert fields_of(checked) == [type_checks.ROOT]
 
     @pytest.mark.parametrize(
         'content',
@@ -201,4 +201,4 @@
         path = tmp_path / 'a.json'
         path.write_bytes(content)
         (checked,) = checking.check_paths([path])
-        assert fields_of(checked) == [type_problems.ROOT]
+        assert fields_of(checked) == [type_checks.ROOT]
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -175,7 +175,7 @@
         ) as response:
             assert await check_refusal(response) == 'bad-request'
             assert len(await response.read()) < 1000
-        assert not any(engine.truth.runs for engine in deployment.engines)
+        assert not any(engine.recorded.runs for engine in deployment.engines)
         assert await serves(deployment, session)
 
     @pytest.mark.parametrize(
@@ -760,7 +760,7 @@
 
 async def _has_finished(deployment):
     return any(
-        run.finished for e in deployment.engines for run in e.truth.runs
+        run.finished for e in deployment.engines for run in e.recorded.runs
     )
 
 
