--- a/lacewingpitch/__init__.py
+++ b/lacewingpitch/__init__.py
@@ -1,3 +1,3 @@
-"""A serving layer for very many LoRA adapters."""
+"""A serving layer for large numbers of LoRA adapters."""
 
 __version__ = '0.1.0'
--- a/lacewingpitch/checking.py
+++ b/lacewingpitch/checking.py
@@ -1,7 +1,8 @@
-"""Checking settings and contracts offline, with every error at once.
+"""Offline validation of settings and contracts.
 
-The daemons refuse what does not decode; this module also refuses what
-decodes but cannot be meant, such as one adapter named twice.
+All problems of all files are reported at once.  The daemons reject data
+that does not decode; this module also reports data that decodes but
+makes no sense, such as an adapter that is listed twice.
 """
 
 from collections.abc import Iterable, Iterator
@@ -20,7 +21,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What a file may hold."""
+    """The kind of content of a file."""
 
     ENTRY = 'entry'
     SIDECAR = 'sidecar'
@@ -36,8 +37,8 @@
     Kind.INDEX: published_contracts.ContractIndex,
     Kind.SHARD: published_contracts.ContractShard,
 }
-# The first of these fields that a file has tells what the file is.
-_TELLING_FIELDS = (
+# The first of these fields that an object has determines its kind.
+_KIND_BY_FIELD = (
     ('backend_server', Kind.SIDECAR),
     ('customer', Kind.CONTRACT),
     ('contracts', Kind.SHARD),
@@ -48,12 +49,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckResult:
-    """One file or contract: what it holds, and what is wrong with it.
+    """The result of checking one file, or one contract of a shard.
 
     Parameters
     ----------
+    source
+        Path of the file, with the index of the contract in a shard.
+    kind
+        Kind of content, or ``None`` if it is unknown.
     content
         The decoded data, or ``None`` if it does not decode.
+    problems
+        All problems found; empty if the content is valid.
     """
 
     source: str
@@ -65,26 +72,26 @@
 def check_paths(
     paths: Iterable[pathlib.Path], kind: Kind | None = None
 ) -> list[CheckResult]:
-    """Check files, and the JSON files in folders, each and together.
+    """Check files, each alone and all for conflicts with each other.
 
     Parameters
     ----------
     paths
-        Files and folders; folders are searched through and through.
+        Files, and folders that are searched recursively for JSON files.
     kind
-        What each file holds; told from its content if ``None``.
+        Kind of content of every file; ``None`` to detect it per file.
     """
-    found: list[CheckResult] = []
+    results: list[CheckResult] = []
     for path in paths:
         for file in _files(path):
-            found += check_file(file, kind)
-    return _with_shared_problems(found)
+            results += check_file(file, kind)
+    return _with_conflicts(results)
 
 
 def check_file(
     path: pathlib.Path, kind: Kind | None = None
 ) -> list[CheckResult]:
-    """Check one file alone; a shard gives one result per contract."""
+    """Check one file alone; return one result per contract of a shard."""
     source = str(path)
     try:
         value = msgspec.json.decode(path.read_bytes())
@@ -92,8 +99,8 @@
         reason = error.strerror or 'cannot be read'
         return [_unreadable(source, kind, reason)]
     except (ValueError, RecursionError) as error:
-        return [_unreadable(source, kind, f'not JSON: {error}')]
-    kind = kind or kind_of(value)
+        return [_unreadable(source, kind, f'invalid JSON: {error}')]
+    kind = kind or detect_kind(value)
     if kind is None:
         return [_unreadable(source, None, _unknown_kind_reason())]
     contracts = _contracts_of(value) if kind is Kind.SHARD else None
@@ -106,13 +113,13 @@
 
 
 def _contracts_of(shard: Any) -> list[Any] | None:
-    # What is said to be a shard may be any JSON.
-    found = shard.get('contracts') if isinstance(shard, dict) else None
-    return found if isinstance(found, list) else None
+    # The caller may name the kind, so the value may be any JSON.
+    contracts = shard.get('contracts') if isinstance(shard, dict) else None
+    return contracts if isinstance(contracts, list) else None
 
 
 def check_value(value: Any, kind: Kind, source: str) -> CheckResult:
-    """Check decoded JSON as settings or a contract."""
+    """Check decoded JSON as one kind of content."""
     struct = _TYPES[kind]
     problems = list(type_checks.find_problems(value, struct, source))
     if problems:
@@ -125,8 +132,8 @@
     return CheckResult(source, kind, content, tuple(problems))
 
 
-def decodes(value: Any, kind: Kind) -> bool:
-    """Whether a daemon would take decoded JSON as this kind."""
+def is_decodable(value: Any, kind: Kind) -> bool:
+    """Whether a daemon would accept decoded JSON as this kind."""
     try:
         msgspec.convert(value, _TYPES[kind])
     except msgspec.ValidationError:
@@ -134,11 +141,11 @@
     return True
 
 
-def kind_of(value: Any) -> Kind | None:
-    """Return what decoded JSON is meant to be, told by its fields."""
+def detect_kind(value: Any) -> Kind | None:
+    """Return the kind of decoded JSON by its fields, if it is known."""
     if not isinstance(value, dict):
         return None
-    return next((k for f, k in _TELLING_FIELDS if f in value), None)
+    return next((k for f, k in _KIND_BY_FIELD if f in value), None)
 
 
 def _files(path: pathlib.Path) -> list[pathlib.Path]:
@@ -157,37 +164,37 @@
 
 
 def _unknown_kind_reason() -> str:
-    fields = ', '.join(
-        f'{field!r} ({kind})' for field, kind in _TELLING_FIELDS
-    )
+    fields = ', '.join(f'{field!r} ({kind})' for field, kind in _KIND_BY_FIELD)
     return f'Expected an object with one of the fields {fields}'
 
 
-def _with_shared_problems(found: list[CheckResult]) -> list[CheckResult]:
-    """Add what is wrong between files, to each file but the first."""
-    owners: dict[tuple[str, str], str] = {}
-    checked = []
-    for item in found:
-        problems = list(item.problems)
-        for field, what, value in _unique_values(item.content):
-            owner = owners.setdefault((what, value), item.source)
-            if owner != item.source:
+def _with_conflicts(results: list[CheckResult]) -> list[CheckResult]:
+    """Add conflicts between files, to each file but the first."""
+    first_sources: dict[tuple[str, str], str] = {}
+    complete = []
+    for result in results:
+        problems = list(result.problems)
+        for field, meaning, value in _unique_values(result.content):
+            first_source = first_sources.setdefault(
+                (meaning, value), result.source
+            )
+            if first_source != result.source:
                 problems.append(
                     type_checks.Problem(
-                        item.source,
+                        result.source,
                         field,
-                        f'{what} is also in {owner}',
+                        f'{meaning} is already used in {first_source}',
                         type_checks.short_json(value),
                     )
                 )
-        checked.append(dataclasses.replace(item, problems=tuple(problems)))
-    return checked
+        complete.append(dataclasses.replace(result, problems=tuple(problems)))
+    return complete
 
 
 def _unique_values(
     content: msgspec.Struct | None,
 ) -> Iterator[tuple[str, str, str]]:
-    """Yield field, meaning and value of what only one file may have."""
+    """Yield field, meaning and value of data that must be unique."""
     if isinstance(content, contract_module.Contract):
         yield '$.customer', 'Customer', content.customer
         for digest in set(content.key_digests):
--- a/lacewingpitch/decoding.py
+++ b/lacewingpitch/decoding.py
@@ -11,8 +11,8 @@
 
 _PATH = re.compile(r' - at `(?P<path>\$[^`]*)`$')
 _STEP = re.compile(r'\.(?P<name>[^.\[]+)|\[(?P<index>\d+)\]')
-_VALUE_LIMIT = 60
-_SECRET_FIELD = '.secret'
+_MAX_VALUE_CHARS = 60
+_SECRET_SUFFIX = '.secret'
 
 
 class Record(
@@ -21,27 +21,28 @@
     kw_only=True,
     forbid_unknown_fields=True,
 ):
-    """A frozen data class that refuses fields it does not know."""
+    """Base class of frozen structs that reject unknown fields."""
 
 
 def decode_json(
     data: bytes | str, kind: type[Decoded], source: str
 ) -> Decoded:
-    """Decode JSON text into `kind`.
+    """Decode JSON text into an object of type `kind`.
 
     Parameters
     ----------
     data
         JSON text.
     kind
-        The frozen struct to build.
+        Type of the struct to create.
     source
-        Where the text comes from, for the error.
+        Origin of the text, for error messages.
 
     Raises
     ------
     SettingsError
-        Names the source, the field, its value and what is allowed.
+        The text is not JSON or does not match the type.  The message
+        names the source, the field, its value and what is expected.
     """
     try:
         return msgspec.json.decode(data, type=kind)
@@ -50,7 +51,9 @@
             f'{source}: {_explain(str(error), data)}'
         ) from error
     except (msgspec.DecodeError, RecursionError) as error:
-        raise errors.SettingsError(f'{source}: not JSON: {error}') from error
+        raise errors.SettingsError(
+            f'{source}: invalid JSON: {error}'
+        ) from error
 
 
 def _explain(message: str, data: bytes | str) -> str:
@@ -63,18 +66,22 @@
 
 
 def _value_at(path: str, data: bytes | str) -> str:
-    if path.endswith(_SECRET_FIELD):
-        return 'a value that is not shown'
+    if path.endswith(_SECRET_SUFFIX):
+        return '(not shown)'
     try:
         value: Any = msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError):
-        # The field is wrong already before the text ceases to be JSON.
-        return 'text that is not JSON'
+        # The type error of the field precedes a syntax error.
+        return 'invalid JSON'
     for step in _STEP.finditer(path):
         name = step['name']
         try:
             value = value[name] if name else value[int(step['index'])]
         except (KeyError, IndexError, TypeError):
-            return 'nothing'
+            return 'no value'
     text = msgspec.json.encode(value).decode()
-    return text if len(text) <= _VALUE_LIMIT else f'{text[:_VALUE_LIMIT]}...'
+    return (
+        text
+        if len(text) <= _MAX_VALUE_CHARS
+        else f'{text[:_MAX_VALUE_CHARS]}...'
+    )
--- a/lacewingpitch/semantic_checks.py
+++ b/lacewingpitch/semantic_checks.py
@@ -1,4 +1,4 @@
-"""What decodes in settings and contracts, but cannot be meant."""
+"""Checks of settings and contracts beyond the types of their fields."""
 
 import collections
 from collections.abc import Iterable, Iterator
@@ -16,7 +16,7 @@
 def contract_problems(
     contract: contract_module.Contract, source: str
 ) -> Iterator[type_checks.Problem]:
-    """Yield what decodes in a contract but cannot be meant."""
+    """Yield the inconsistencies of a decoded contract."""
     yield from _duplicates(
         [grant.name for grant in contract.adapters], source, 'adapters'
     )
@@ -51,8 +51,7 @@
         yield type_checks.Problem(
             source,
             '$.deadline_s',
-            'Expected no less than objective.first_token_s'
-            f' ({first_token_s:g})',
+            f'Expected at least objective.first_token_s ({first_token_s:g})',
             type_checks.short_json(contract.deadline_s),
         )
 
@@ -65,32 +64,32 @@
             yield type_checks.Problem(
                 source,
                 field,
-                f'Unknown method, allowed are {_METHODS_TEXT}',
+                f'Unknown method, expected one of {_METHODS_TEXT}',
                 type_checks.short_json(method),
             )
 
 
 def settings_problems(
-    found: settings.ProcessSettings, source: str
+    process: settings.ProcessSettings, source: str
 ) -> Iterator[type_checks.Problem]:
-    """Yield what decodes in settings but cannot work."""
-    if found.work_port and found.work_port == found.control_port:
+    """Yield the inconsistencies of decoded settings."""
+    if process.work_port and process.work_port == process.control_port:
         yield type_checks.Problem(
             source,
             '$.control_port',
-            'Expected another port than work_port',
-            type_checks.short_json(found.control_port),
+            'Expected a port other than work_port',
+            type_checks.short_json(process.control_port),
         )
 
 
 def _duplicates(
-    names: Iterable[str], source: str, field: str
+    items: Iterable[str], source: str, field: str
 ) -> Iterator[type_checks.Problem]:
-    for name, count in collections.Counter(names).items():
+    for item, count in collections.Counter(items).items():
         if count > 1:
             yield type_checks.Problem(
                 source,
                 f'$.{field}',
-                f'Expected each once, one is there {count} times',
-                type_checks.short_json(name),
+                f'Expected unique items, this one occurs {count} times',
+                type_checks.short_json(item),
             )
--- a/lacewingpitch/settings.py
+++ b/lacewingpitch/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons, read from JSON files."""
+"""Settings of the daemons, loaded from JSON files."""
 
 import ipaddress
 import pathlib
@@ -18,13 +18,13 @@
 
 
 class Address(decoding.Record, frozen=True):
-    """A TCP endpoint, by IP number."""
+    """The IP address and port of a TCP endpoint."""
 
     ip: Ip
     port: Port
 
     def __post_init__(self) -> None:
-        """Refuse what only looks like an IP number."""
+        """Reject text that matches the pattern but is no IP address."""
         check_ip(self.ip)
 
     @property
@@ -35,31 +35,35 @@
 
 
 class ProcessSettings(decoding.Record, frozen=True, kw_only=True):
-    """What every daemon must know of itself and of the platform.
+    """Settings that entries and sidecars share.
 
     Parameters
     ----------
     deployment
-        Processes of another deployment are refused.
+        Name of the deployment.  Messages and orders of processes of
+        another deployment are refused.
     secret
-        Signs what the processes of a deployment send each other.
+        Key that signs the messages between the processes of a
+        deployment.
     work_port
-        HTTP port; callers' at an entry, entries' at a sidecar.
+        HTTP port for requests: of callers at an entry, of entries at a
+        sidecar.
     control_port
         Port for control messages.
     drain_s
-        How long a graceful shutdown waits for work in progress.
+        Maximum time that a graceful shutdown waits for work in progress.
     key_window_s
-        Age up to which an idempotency key is accepted.
+        Maximum age of an idempotency key.
     clock_skew_s
-        Most that two clocks, a caller's or an instance's, may differ.
+        Maximum difference between two clocks, of callers or instances.
     list_lag_s
-        Longest that two instances may hold different lists; a sidecar
-        whose list is older backs no claims.
+        Maximum time for which two instances may have different instance
+        lists.  A sidecar whose list is older votes for no claims.
     body_timeout_s
-        Time within which a request's body must have come.
+        Time limit for receiving the body of a request.
     stall_timeout_s
-        How long the other end may take no byte of an answer.
+        Maximum time for which the receiver of an answer may accept no
+        data.
     """
 
     deployment: contract.Name
@@ -80,26 +84,34 @@
     stall_timeout_s: contract.PositiveFloat = 30.0
 
     def __post_init__(self) -> None:
-        """Refuse what only looks like an IP number."""
+        """Reject text that matches the pattern but is no IP address."""
         check_ip(self.ip)
 
 
 class ObjectiveSettings(decoding.Record, frozen=True):
-    """What the operator wants most of the engines.
+    """The operator's trade-off between load stalls and batching.
 
     Parameters
     ----------
     stall_weight
-        Weight of load stalls against batch efficiency.  At 1 requests
-        spread over all engines and their slots; towards 0 they are
-        packed on as few engines as hold them.
+        Weight of avoiding load stalls against batch efficiency.  At 1
+        requests spread over all engines and their adapter slots; towards
+        0 they are packed onto as few engines as can hold them.
     """
 
     stall_weight: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.5
 
 
 class StoreSettings(decoding.Record, frozen=True):
-    """What the weight store bears, from all sidecars together."""
+    """Limits on loads from the weight store, for all sidecars together.
+
+    Parameters
+    ----------
+    loads_per_s
+        Maximum rate of loads.
+    loads_at_once
+        Maximum number of concurrent loads.
+    """
 
     loads_per_s: contract.PositiveFloat = 2.0
     loads_at_once: contract.PositiveInt = 1
@@ -111,8 +123,9 @@
     Parameters
     ----------
     operator_token_digest
-        SHA-256 of the token that opens the report of all customers, in
-        lower-case hexadecimal; without it that report is closed.
+        SHA-256 of the token that grants access to the report of all
+        customers, in lower-case hexadecimal.  ``None`` disables that
+        report.
     """
 
     objective: ObjectiveSettings = ObjectiveSettings()
@@ -123,16 +136,16 @@
 
 
 class EngineSettings(decoding.Record, frozen=True, tag='engine'):
-    """The model engine beside a sidecar.
+    """The model engine that a sidecar serves.
 
     Parameters
     ----------
     base_model
-        Model that the engine serves.
+        Name of the model that the engine serves.
     adapter_slots
-        Adapters that the engine holds at once.
+        Number of adapters that the engine can hold at the same time.
     max_running
-        Requests that the engine batches at once.
+        Maximum number of requests that the engine runs in one batch.
     """
 
     address: Address
@@ -142,7 +155,13 @@
 
 
 class ServiceSettings(decoding.Record, frozen=True, tag='service'):
-    """The plain service beside a sidecar."""
+    """The plain service, one without adapters, that a sidecar serves.
+
+    Parameters
+    ----------
+    max_running
+        Maximum number of requests that the service runs concurrently.
+    """
 
     address: Address
     name: contract.Name
@@ -155,9 +174,9 @@
     Parameters
     ----------
     max_queued
-        Requests that may wait here.
+        Maximum number of requests that wait in the queue.
     max_votes
-        Idempotency keys whose votes are remembered.
+        Maximum number of idempotency keys for which votes are stored.
     """
 
     backend_server: EngineSettings | ServiceSettings
@@ -168,19 +187,19 @@
 
 
 def check_ip(text: str) -> None:
-    """Raise ``ValueError`` unless `text` is an IP number."""
+    """Raise ``ValueError`` unless `text` is an IP address."""
     ipaddress.ip_address(text)
 
 
 def load_settings(
     path: pathlib.Path, kind: type[SettingsType]
 ) -> SettingsType:
-    """Read settings of one kind from a JSON file.
+    """Load settings of type `kind` from a JSON file.
 
     Raises
     ------
     SettingsError
-        The file cannot be read, or a field is wrong.
+        The file cannot be read, or a field is invalid.
     """
     try:
         data = path.read_bytes()
--- a/lacewingpitch/type_checks.py
+++ b/lacewingpitch/type_checks.py
@@ -1,4 +1,4 @@
-"""Where decoded JSON does not fit a type: every place, field by field."""
+"""Checks of decoded JSON against a type, with all mismatching fields."""
 
 from collections.abc import Iterator
 import dataclasses
@@ -11,25 +11,25 @@
 import msgspec
 
 ROOT = '$'
-_VALUE_LIMIT = 60
-_SECRET_FIELD = '.secret'
+_MAX_VALUE_CHARS = 60
+_SECRET_SUFFIX = '.secret'
 _MISSING = object()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong.
+    """One problem in a file.
 
     Parameters
     ----------
     source
-        File, and the place in it where it holds several contracts.
+        Path of the file, with the index of the contract in a shard.
     field
-        Path of the field, ``$`` for the whole.
+        Path of the field; ``$`` for the whole value.
     reason
-        What is wrong, and what is allowed.
+        What is wrong, and what is expected.
     value
-        The value found, as short JSON text; empty if there is none.
+        The actual value as truncated JSON text; empty if there is none.
     """
 
     source: str
@@ -38,7 +38,7 @@
     value: str = ''
 
     def __str__(self) -> str:
-        """Return one line for an operator."""
+        """Return the problem as one line for an operator."""
         text = f'{self.source}: field {self.field}: {self.reason}'
         return f'{text}, got {self.value}' if self.value else text
 
@@ -46,7 +46,7 @@
 def find_problems(
     value: Any, kind: Any, source: str, path: str = ROOT
 ) -> Iterator[Problem]:
-    """Yield each place where `value` does not fit the type `kind`."""
+    """Yield every mismatch between `value` and the type `kind`."""
     struct = _struct_for(value, kind)
     if struct is not None:
         yield from _struct_problems(value, struct, source, path)
@@ -59,20 +59,24 @@
     try:
         msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        reason = str(error).split(' - at `')[0] + _allowed(kind)
-        is_secret = path.endswith(_SECRET_FIELD)
+        reason = str(error).split(' - at `')[0] + _expected_values(kind)
+        is_secret = path.endswith(_SECRET_SUFFIX)
         shown = '(not shown)' if is_secret else short_json(value)
         yield Problem(source, path, reason, shown)
 
 
 def short_json(value: Any) -> str:
-    """Return a value as JSON text that fits a line."""
+    """Return a value as JSON text, truncated to fit on a line."""
     text = json.dumps(value, default=str)
-    return text if len(text) <= _VALUE_LIMIT else f'{text[:_VALUE_LIMIT]}...'
+    return (
+        text
+        if len(text) <= _MAX_VALUE_CHARS
+        else f'{text[:_MAX_VALUE_CHARS]}...'
+    )
 
 
 def _struct_for(value: Any, kind: Any) -> type[msgspec.Struct] | None:
-    """Return the struct that an object is checked against, field by field."""
+    """Return the struct type for an object, chosen by its tag in a union."""
     if not isinstance(value, dict):
         return None
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
@@ -106,32 +110,35 @@
             yield Problem(
                 source,
                 f'{path}.{name}',
-                f'Unknown field, allowed are {", ".join(sorted(fields))}',
+                f'Unknown field, expected one of {", ".join(sorted(fields))}',
                 short_json(value[name]),
             )
-    before = 0
+    problem_count = 0
     for name, field in fields.items():
         part = value.get(name, _MISSING)
         if part is not _MISSING:
             for problem in find_problems(
                 part, field.type, source, f'{path}.{name}'
             ):
-                before += 1
+                problem_count += 1
                 yield problem
         elif field.required:
-            before += 1
+            problem_count += 1
             yield Problem(source, f'{path}.{name}', 'Required field missing')
-    if not before and set(value) <= allowed:
-        yield from _whole_problems(value, struct, source, path)
+    if not problem_count and set(value) <= allowed:
+        yield from _struct_validation_problems(value, struct, source, path)
 
 
-def _whole_problems(
+def _struct_validation_problems(
     value: dict[str, Any],
     struct: type[msgspec.Struct],
     source: str,
     path: str,
 ) -> Iterator[Problem]:
-    """Yield what only the struct itself finds, once its fields fit."""
+    """Yield problems that only the validation of the whole struct finds.
+
+    The fields must already match their types.
+    """
     try:
         msgspec.convert(value, struct)
     except msgspec.ValidationError as error:
@@ -146,7 +153,7 @@
     return None
 
 
-def _allowed(kind: Any) -> str:
+def _expected_values(kind: Any) -> str:
     if isinstance(kind, type) and issubclass(kind, enum.Enum):
-        return f', allowed are {", ".join(str(m.value) for m in kind)}'
+        return f', expected one of {", ".join(str(m.value) for m in kind)}'
     return ''
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -1,4 +1,4 @@
-"""Checking settings and contracts offline."""
+"""Offline validation of settings and contracts."""
 
 import json
 
@@ -66,7 +66,7 @@
             '$.urgency',
         ]
 
-    def test_says_value_and_what_is_allowed(self):
+    def test_names_the_value_and_the_expected_ones(self):
         contract = samples.contract(urgency='soon')
         (problem,) = checking.check_value(
             contract, Kind.CONTRACT, 'x'
@@ -81,7 +81,7 @@
         assert fields_of(checked) == ['$.backend_server.adapter_slots']
 
     @pytest.mark.parametrize('ip', ['localhost', 'abc', '1.2.3', '1.2.3.4\n'])
-    def test_refuses_what_is_no_ip_number(self, ip):
+    def test_rejects_invalid_ip_addresses(self, ip):
         address = {'ip': ip, 'port': 1}
         found = samples.entry_settings(config_service=address)
         assert checking.check_value(found, Kind.ENTRY, 'x').problems
@@ -92,19 +92,19 @@
         assert 'hush' not in str(problem)
 
     @given(strategies.sampled_from(list(Kind)), JSON)
-    def test_answers_any_json(self, kind, value):
+    def test_checks_any_json(self, kind, value):
         checked = checking.check_value(value, kind, 'x')
         assert (checked.content is None) == bool(checked.problems)
 
     @given(strategies.sampled_from(list(SAMPLES)), strategies.data(), JSON)
     def test_agrees_with_the_decoder(self, kind, data, value):
-        """What the checker passes by types is what the daemons decode."""
+        """A value passes the type checks if and only if daemons decode it."""
         found = SAMPLES[kind]()
         field = data.draw(strategies.sampled_from(sorted(found)))
         found[field] = value
         checked = checking.check_value(found, kind, 'x')
-        decodes = checking.decodes(found, kind)
-        assert (checked.content is not None) == decodes
+        is_decodable = checking.is_decodable(found, kind)
+        assert (checked.content is not None) == is_decodable
 
 
 class TestMeaning:
@@ -135,14 +135,14 @@
         checked = checking.check_value(contract, Kind.CONTRACT, 'x')
         assert checked.problems == ()
 
-    def test_refuses_one_port_for_two_things(self):
+    def test_rejects_equal_work_and_control_ports(self):
         found = samples.entry_settings(control_port=8080)
         checked = checking.check_value(found, Kind.ENTRY, 'x')
         assert fields_of(checked) == ['$.control_port']
 
 
 class TestFiles:
-    def test_reports_the_bad_one_among_good_ones_alone(self, tmp_path):
+    def test_reports_only_the_invalid_file(self, tmp_path):
         write(tmp_path, 'a.json', samples.contract('a'))
         write(tmp_path, 'b.json', samples.contract('b', revision='2'))
         write(
@@ -153,14 +153,14 @@
         found = checking.check_paths([tmp_path])
         assert [bool(item.problems) for item in found] == [False, True, False]
 
-    def test_refuses_one_customer_and_one_digest_twice(self, tmp_path):
+    def test_rejects_a_customer_and_digest_in_two_files(self, tmp_path):
         write(tmp_path, 'a.json', samples.contract())
         write(tmp_path, 'b.json', samples.contract())
         first, second = checking.check_paths([tmp_path])
         assert not first.problems
         assert fields_of(second) == ['$.customer', '$.key_digests']
 
-    def test_refuses_one_instance_and_address_twice(self, tmp_path):
+    def test_rejects_an_instance_and_address_in_two_files(self, tmp_path):
         write(tmp_path, 'a.json', samples.entry_settings())
         write(tmp_path, 'b.json', samples.entry_settings())
         first, second = checking.check_paths([tmp_path])
@@ -172,13 +172,12 @@
         ]
 
     @pytest.mark.parametrize('kind', Kind)
-    def test_reports_what_is_not_of_the_kind_that_is_named(
-        self, tmp_path, kind
-    ):
-        """An operator names the kind of a file and reads a trace.
+    def test_reports_a_list_for_every_given_kind(self, tmp_path, kind):
+        """Guards against a traceback instead of a reported problem.
 
-        The file holds a list, as a shard without its frame would.  The
-        cause was that a shard was taken for an object unseen.
+        It occurs if the code that reads the contracts of a shard assumes
+        that the file holds an object; this one holds a list, as a shard
+        without its enclosing object would.
         """
         path = write(tmp_path, 'a.json', [])
         (checked,) = checking.check_paths([path], kind)
@@ -197,7 +196,7 @@
             b'3',
         ],
     )
-    def test_reports_what_it_cannot_tell(self, tmp_path, content):
+    def test_reports_invalid_json_and_unknown_kinds(self, tmp_path, content):
         path = tmp_path / 'a.json'
         path.write_bytes(content)
         (checked,) = checking.check_paths([path])
--- a/tests/test_decoding.py
+++ b/tests/test_decoding.py
@@ -22,7 +22,7 @@
 
 
 class TestRefusals:
-    def test_name_source_field_value_and_what_is_allowed(self):
+    def test_name_source_field_value_and_expectation(self):
         data = samples.contract(revision=0)
         text = refusal(msgspec.json.encode(data))
         assert text == (
@@ -45,14 +45,15 @@
         ],
     )
     def test_deep_nesting_is_refused_like_other_bad_text(self, data, kind):
-        """One absurd value stops all changes of contracts from then on.
+        """Guards against one value that stops all updates of contracts.
 
-        It nests deeper than the decoder goes, which raises no error of
-        decoding; the task that follows the contracts ended with it.
+        Text that is nested deeper than the decoder supports raises a
+        RecursionError, which is not a DecodeError, and would end the
+        task that watches the contracts.
         """
         refusal(data, kind)
 
-    def test_a_wrong_field_before_text_that_is_not_json(self):
+    def test_an_invalid_field_before_a_syntax_error(self):
         text = refusal(b'{"customer": 1, "revision"')
         assert 'field $.customer' in text
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, as the daemons read them."""
+"""Loading of the settings of daemons."""
 
 import json
 
@@ -54,7 +54,7 @@
 
 
 class TestAddress:
-    def test_writes_urls_of_both_families(self):
+    def test_formats_urls_of_ipv4_and_ipv6(self):
         four = settings.Address(ip='127.0.0.1', port=1)
         six = settings.Address(ip='::1', port=1)
         assert four.url == 'http://127.0.0.1:1'
