--- a/lacewingpitch/log_output.py
+++ b/lacewingpitch/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output, bounded and never waited for."""
+"""Log output as JSON lines, rate-limited and without blocking."""
 
 import os
 import time
@@ -8,76 +8,83 @@
 
 from lacewingpitch import token_bucket
 
-# A few lines for each request of a busy entry, and bursts of five times
-# that for some seconds.
-_LINES_PER_S = 400.0
-_BURST_LINES = 2000.0
+# Allows a few lines per request of a busy entry, and short bursts of five
+# times as many.
+_MAX_LINES_PER_S = 400.0
+_MAX_BURST_LINES = 2000.0
 _LEVELS = {'debug': 10, 'info': 20, 'warning': 30, 'error': 40}
 
 
 class LogOutput:
-    """Writes whole lines to a descriptor that must not block.
+    """Writes whole lines to a file descriptor without blocking.
 
-    A pipe that nobody reads would stop the process at its next line.
-    What can't be written at once, or is beyond the rate, is left out,
-    and the next line that goes out says how many were.
+    With blocking writes, a full pipe whose reader has stopped would block
+    the process at its next log line.  Lines that cannot be written
+    immediately, or that exceed the rate limit, are dropped; the next
+    line that is written is preceded by a count of the dropped ones.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         os.set_blocking(descriptor, False)
         now_s = time.monotonic()
-        self._rate = token_bucket.TokenBucket(
-            _LINES_PER_S, _BURST_LINES, _BURST_LINES, now_s
+        self._bucket = token_bucket.TokenBucket(
+            _MAX_LINES_PER_S, _MAX_BURST_LINES, _MAX_BURST_LINES, now_s
         )
-        self._rest = b''
-        self._left_out_count = 0
+        self._pending = b''
+        self._dropped_count = 0
 
     def msg(self, line: bytes) -> None:
-        """Write one line, or leave it out."""
+        """Write one line, or drop it."""
         now_s = time.monotonic()
-        if self._rate.level(now_s) < 1.0 or not self._flush():
-            self._left_out_count += 1
+        if self._bucket.level(now_s) < 1.0 or not self._flush():
+            self._dropped_count += 1
             return
-        self._rate.add(-1.0, now_s)
-        if self._left_out_count:
-            note = msgspec.json.encode(
-                {'event': 'lines left out', 'count': self._left_out_count}
+        self._bucket.add(-1.0, now_s)
+        if self._dropped_count:
+            dropped_line = msgspec.json.encode(
+                {'event': 'log lines dropped', 'count': self._dropped_count}
             )
-            line = note + b'\n' + line
-            self._left_out_count = 0
-        self._rest = line + b'\n'
+            line = dropped_line + b'\n' + line
+            self._dropped_count = 0
+        self._pending = line + b'\n'
         self._flush()
 
     log = debug = info = warning = error = critical = exception = msg
 
     def _flush(self) -> bool:
-        """Write what is left of a line; return whether nothing is."""
-        if not self._rest:
+        """Write the pending bytes; return whether all of them are written."""
+        if not self._pending:
             return True
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._pending)
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody can read the line, and there is no other place to
-            # tell of it.
-            written = len(self._rest)
-        self._rest = self._rest[written:]
-        return not self._rest
+            # The descriptor has no reader, and there is no other place to
+            # report the error.  The line is discarded.
+            written = len(self._pending)
+        self._pending = self._pending[written:]
+        return not self._pending
 
 
 def configure(level: str, descriptor: int, **bound: str) -> None:
-    """Write logs as JSON lines to a descriptor.
+    """Write logs as JSON lines to a file descriptor.
 
     Parameters
     ----------
+    level
+        Lowest level to write: ``debug``, ``info``, ``warning`` or
+        ``error``.
+    descriptor
+        File descriptor; it is set to non-blocking mode.
     bound
-        Fields of every line, such as the instance's name.
+        Fields that are added to every line, such as the name of the
+        instance.
     """
     output = LogOutput(descriptor)
 
-    def bind(
+    def add_bound_fields(
         _logger: object, _name: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
         event.update(bound)
@@ -87,7 +94,7 @@
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
-            bind,
+            add_bound_fields,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(serializer=_encode),
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines go out whole, or not at all, and never block."""
+"""Log lines are written whole or dropped, and never block."""
 
 import json
 import os
@@ -31,10 +31,10 @@
 
 
 class TestLogOutput:
-    def test_a_pipe_that_nobody_reads_does_not_block(self, pipe):
-        """The process stands still, with all its requests.
+    def test_a_full_pipe_does_not_block(self, pipe):
+        """Guards against a log line that blocks the whole process.
 
-        Whoever reads its log has stopped, and the pipe is full.
+        The reader of the log has stopped, and the pipe is full.
         """
         reader, writer = pipe
         output = log_output.LogOutput(writer)
@@ -44,8 +44,8 @@
         output.msg(b'{"n":-1}')
         output.msg(b'{"n":-2}')
         lines = [json.loads(line) for line in read_all(reader).splitlines()]
-        left_out = [line for line in lines if 'count' in line]
-        assert left_out and left_out[0]['count'] > 0
+        dropped = [line for line in lines if 'count' in line]
+        assert dropped and dropped[0]['count'] > 0
         assert lines[-1] == {'n': -2}
 
     def test_lines_beyond_the_rate_are_counted(self, pipe):
@@ -54,7 +54,7 @@
         for _ in range(3000):
             output.msg(b'{}')
             read_all(reader)
-        assert output._left_out_count > 0
+        assert output._dropped_count > 0
 
 
 class TestConfigure:
