--- a/lacewingpitch/cli.py
+++ b/lacewingpitch/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command-line interface of ``lacewingpitch``."""
 
 import asyncio
 import logging
@@ -42,18 +42,19 @@
     type=click.Choice(['debug', 'info', 'warning', 'error', 'critical']),
     default='info',
     show_default=True,
-    help='Least important log lines to write.',
+    help='Lowest level of the log lines to write.',
 )
 def main(log_level: str) -> None:
-    """Serve many LoRA adapters, each customer by its contract.
+    """Serve many LoRA adapters to customers with contracts.
 
-    Daemons: `entry` takes callers' requests, `sidecar` runs beside each
-    backend server.  For operators: `check`, `contracts`, `report`,
-    `errors`, `demo`.  Logs go to standard error as JSON lines.
+    Daemons: `entry` receives the requests of callers, `sidecar` runs
+    beside each backend server.  For operators: `check`, `contracts`,
+    `report`, `errors`, `demo`.  Logs are written to standard error as
+    JSON lines.
 
-    Exit codes of every command: 0 done, nothing wrong; 1 something given
-    is wrong, a daemon cannot listen, or no report was got; 2 the command
-    line is wrong.
+    Exit codes of all commands: 0 success; 1 invalid input, a daemon that
+    cannot listen, or a report that cannot be fetched; 2 invalid command
+    line.
     """
     configure_logs(log_level)
 
@@ -63,34 +64,37 @@
 def entry(settings_file: pathlib.Path) -> None:
     """Run an entry instance with the settings in SETTINGS_FILE.
 
-    SIGTERM or SIGINT drains it: /readyz turns 503, new requests are
-    refused as "not-run", those in progress end whole, and it exits 0.
-    The log line "listening" names its ports.
+    SIGTERM or SIGINT drains it: /readyz returns 503, new requests are
+    refused as "not-run", requests in progress are completed, and the
+    process exits with code 0.  The log line "listening" contains its
+    ports.
     """
-    found = _load(settings_file, settings.EntrySettings)
-    daemon.serve(entry_module.Entry(found))
+    entry_settings = _load(settings_file, settings.EntrySettings)
+    daemon.serve(entry_module.Entry(entry_settings))
 
 
 @main.command()
 @click.argument('settings_file', type=_SETTINGS_FILE)
 def sidecar(settings_file: pathlib.Path) -> None:
-    """Run the process beside a backend server.
+    """Run the sidecar of a backend server.
 
-    SETTINGS_FILE names the engine or plain service.  SIGTERM or SIGINT
-    drains it as an entry.  It listens on its work port exclusively, so a
-    second sidecar for the same address exits 1.
+    SETTINGS_FILE contains the address of the engine or plain service.
+    SIGTERM or SIGINT drains it as an entry.  It listens on its work port
+    exclusively, so a second sidecar for the same address exits with
+    code 1.
     """
-    found = _load(settings_file, settings.SidecarSettings)
-    daemon.serve(sidecar_module.Sidecar(found))
+    sidecar_settings = _load(settings_file, settings.SidecarSettings)
+    daemon.serve(sidecar_module.Sidecar(sidecar_settings))
 
 
 @main.command()
 def demo() -> None:
     """Serve sample traffic in one process and print a report.
 
-    Entry, sidecars and stand-ins run here on free ports of 127.0.0.1;
-    two customers call several adapters, whole and streamed, are refused
-    once, and send one request twice that may run only once.
+    An entry, sidecars and stand-ins of engines, a plain service and the
+    platform listen on free ports of 127.0.0.1.  Two customers call
+    several adapters, with and without streaming; one request is refused,
+    and one that must run only once is sent twice.
     """
     configure_logs('critical')
     sys.exit(uvloop.run(demo_traffic.run_demo()))
@@ -98,7 +102,7 @@
 
 @main.command()
 @click.argument('url')
-@click.option('--customer', help='Only this customer, and no other.')
+@click.option('--customer', help='Report on this customer only.')
 @click.option(
     '--format',
     'output_format',
@@ -111,15 +115,16 @@
     envvar='LACEWINGPITCH_TOKEN',
     show_envvar=True,
     required=True,
-    help="Operators' token, or the API key of the customer named.  Better"
-    ' given in the environment, where no list of processes shows it.',
+    help="Operators' token, or the API key of the given customer.  Prefer the"
+    ' environment variable: process lists show command-line arguments.',
 )
 def report(
     url: str, customer: str | None, output_format: str, token: str
 ) -> None:
-    """Print the account of service, asked of the entry at URL.
+    """Print the account of service, fetched from the entry at URL.
 
-    It says first what it may lack.  Exit code 1: no report was got.
+    The report starts with its gaps: the data that may be missing from
+    it.  Exits with code 1 if the report cannot be fetched.
     """
     try:
         data = asyncio.run(report_module.fetch(url, customer, token))
@@ -128,8 +133,8 @@
     if output_format == 'json':
         click.echo(data)
         return
-    found = msgspec.json.decode(data, type=report_module.Report)
-    report_text.print_table(found, rich.console.Console())
+    decoded = msgspec.json.decode(data, type=report_module.Report)
+    report_text.print_table(decoded, rich.console.Console())
 
 
 @main.command()
@@ -137,34 +142,39 @@
 @click.option(
     '--kind',
     type=click.Choice([kind.value for kind in checking.Kind]),
-    help='What the files hold; told from their fields if left out.',
+    help='Kind of content of the files; by default detected by their fields.',
 )
 def check(paths: tuple[pathlib.Path, ...], kind: str | None) -> None:
     """Check settings and contracts offline.
 
-    PATHS are JSON files and folders of them.  Every problem is printed
-    on a line of its own with file, field, what is allowed and the value
-    found.  Files are checked alone and against each other: a customer,
-    key digest, instance or address may be in one of them only.
+    PATHS are JSON files, and folders that are searched for them.  Every
+    problem is printed on its own line with the file, the field, what is
+    expected and the actual value.  Files are also checked for conflicts:
+    a customer, key digest, instance or address may be in only one file.
 
-    Exits 0 if all is well, 1 if there is a problem or no file.
+    Exits with code 0 if there is no problem, 1 if there is one or if no
+    file is found.
     """
-    found = checking.check_paths(paths, checking.Kind(kind) if kind else None)
-    bad = [item for item in found if item.problems]
-    for item in bad:
-        for problem in item.problems:
+    results = checking.check_paths(
+        paths, checking.Kind(kind) if kind else None
+    )
+    invalid = [result for result in results if result.problems]
+    for result in invalid:
+        for problem in result.problems:
             click.echo(str(problem))
-    if not found:
+    if not results:
         raise click.ClickException('nothing to check: found no *.json file')
-    click.echo(f'{len(found)} checked, {len(bad)} with problems', err=True)
-    sys.exit(_PROBLEMS_EXIT_CODE if bad else 0)
+    click.echo(
+        f'{len(results)} checked, {len(invalid)} with problems', err=True
+    )
+    sys.exit(_PROBLEMS_EXIT_CODE if invalid else 0)
 
 
 @main.group()
 def contracts() -> None:
     """Prepare contracts for the configuration service.
 
-    Contracts are kept as one JSON file for each customer in a folder.
+    Contracts are stored in a folder, as one JSON file per customer.
     """
 
 
@@ -173,14 +183,15 @@
 @click.option(
     '--output',
     type=_FOLDER,
-    help='Folder for one NAME.json per value; standard output if left out.',
+    help='Folder for one NAME.json per value; by default standard output.',
 )
 @click.option(
     '--shards',
     type=click.IntRange(min=1),
     default=contract_files.DEFAULT_SHARD_COUNT,
     show_default=True,
-    help='How many values the contracts are spread over; keep it.',
+    help='Number of shards.  Keep it constant: a change moves contracts'
+    ' between shards.',
 )
 def contracts_render(
     folder: pathlib.Path, output: pathlib.Path | None, shards: int
@@ -188,23 +199,23 @@
     """Write the values to publish from the contracts in FOLDER.
 
     The values are shards of contracts, each under 1 MB, and the index
-    "contracts.index", which is to be published last.  A customer's shard
-    follows from its name and the number of shards, so one change touches
-    one shard.  To standard output each value is a JSON line with "name"
-    and "content".
+    "contracts.index", which must be published last.  The shard of a
+    customer depends only on its name and the number of shards, so that
+    a change of one contract changes one shard.  On standard output each
+    value is a JSON line with "name" and "content".
 
-    Exits 1 and writes nothing if a contract has a problem.
+    Exits with code 1 and writes nothing if a contract has a problem.
     """
     try:
-        found = contract_files.load_contracts(folder)
-        values = contract_files.render(found, shards)
+        loaded = contract_files.load_contracts(folder)
+        values = contract_files.render(loaded, shards)
     except errors.SettingsError as error:
         raise click.ClickException(str(error)) from error
     contract_files.write_values(values, output, sys.stdout)
     index = published_contracts.INDEX_NAME
     click.echo(
-        f'{len(found)} contracts in {len(values)} values, of which {index}'
-        ' is to be published last',
+        f'{len(loaded)} contracts in {len(values)} values, of which {index}'
+        ' must be published last',
         err=True,
     )
 
@@ -213,14 +224,15 @@
 @click.argument('old', type=_PATH)
 @click.argument('new', type=_PATH)
 def contracts_diff(old: pathlib.Path, new: pathlib.Path) -> None:
-    """Say who changes in what between OLD and NEW.
+    """Print the changes of each customer between OLD and NEW.
 
     Each is a folder of contracts, one contract, or rendered values.
-    A line "FAULT" marks a change that must not be published: a content
-    that changed while its revision did not rise, or a contract that was
-    removed instead of revoked.
+    "FAULT" marks a change that must not be published: a contract whose
+    content changed without a higher revision, or one that was removed
+    instead of revoked.
 
-    Exits 0 if there is no fault (also if nothing changed), else 1.
+    Exits with code 0 if there is no fault, also if nothing changed, and
+    with code 1 otherwise.
     """
     try:
         changes = contract_diff.diff(
@@ -234,11 +246,11 @@
             click.echo(f'{change.customer}: {line}')
         for line in change.problems:
             click.echo(f'{change.customer}: FAULT {line}')
-    faulty = sum(bool(change.problems) for change in changes)
+    fault_count = sum(bool(change.problems) for change in changes)
     click.echo(
-        f'{len(changes)} customers differ, {faulty} with faults', err=True
+        f'{len(changes)} customers differ, {fault_count} with faults', err=True
     )
-    sys.exit(_PROBLEMS_EXIT_CODE if faulty else 0)
+    sys.exit(_PROBLEMS_EXIT_CODE if fault_count else 0)
 
 
 @main.command('errors')
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command-line interface."""
 
 import json
 import socket
@@ -24,7 +24,7 @@
 
 
 class TestMain:
-    def test_tells_its_version(self):
+    def test_prints_its_version(self):
         assert lacewingpitch.__version__ in run('--version').output
 
     @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
         for name in set(cli.main.commands) - {'standin'}:
             assert f'`{name}`' in text
 
-    def test_a_missing_token_is_asked_for_by_its_variable(self):
+    def test_a_missing_token_error_names_the_variable(self):
         result = run('report', 'http://127.0.0.1:1')
         assert result.exit_code == 2
         assert 'LACEWINGPITCH_TOKEN' in result.output
@@ -77,14 +77,13 @@
     def test_a_daemon_that_cannot_listen_says_where(
         self, tmp_path, command, sample
     ):
-        """An operator starts a daemon and reads a trace of twenty lines.
+        """Guards against a traceback that does not name the port.
 
-        Its control port is taken, or its address is another machine's;
-        nothing names the port.  The cause was that pynng's errors are
-        not those of the system.
+        It occurs if the control port is in use, or the address belongs
+        to another machine: the errors of pynng are no OSError.
         """
-        with socket.create_server(('127.0.0.1', 0)) as held:
-            port = held.getsockname()[1]
+        with socket.create_server(('127.0.0.1', 0)) as listener:
+            port = listener.getsockname()[1]
             found = sample(work_port=0, control_port=port)
             result = run(command, write(tmp_path / 'a.json', found))
         assert result.exit_code == 1
@@ -92,7 +91,7 @@
 
 
 class TestCheck:
-    def test_exits_0_when_all_is_well(self, tmp_path):
+    def test_exits_0_without_problems(self, tmp_path):
         write(tmp_path / 'a.json', samples.contract())
         write(tmp_path / 'settings' / 'b.json', samples.sidecar_settings())
         assert run('check', tmp_path).exit_code == 0
@@ -106,7 +105,7 @@
         assert f'{path}: field $.revision' in result.output
         assert f'{path}: field $.weight' in result.output
 
-    def test_an_empty_folder_is_no_success(self, tmp_path):
+    def test_an_empty_folder_is_an_error(self, tmp_path):
         result = run('check', tmp_path)
         assert result.exit_code == 1
         assert 'nothing to check' in result.output
@@ -124,7 +123,7 @@
         names = [json.loads(line)['name'] for line in result.stdout.split()]
         assert result.exit_code == 0
         assert names[-1] == 'contracts.index'
-        assert 'contracts.index is to be published last' in result.stderr
+        assert 'contracts.index must be published last' in result.stderr
 
     def test_renders_to_a_folder(self, tmp_path):
         write(tmp_path / 'in' / 'a.json', samples.contract())
@@ -134,7 +133,7 @@
         assert len(list(out.iterdir())) == 2
         assert run('contracts', 'diff', tmp_path / 'in', out).exit_code == 0
 
-    def test_writes_nothing_of_a_folder_with_a_bad_contract(self, tmp_path):
+    def test_writes_nothing_if_a_contract_is_invalid(self, tmp_path):
         write(tmp_path / 'in' / 'a.json', samples.contract())
         write(tmp_path / 'in' / 'b.json', samples.contract('b', revision=0))
         out = tmp_path / 'out'
