--- a/lacewingpitch/plain_service.py
+++ b/lacewingpitch/plain_service.py
@@ -11,7 +11,7 @@
 from lacewingpitch import platform_call
 
 _CONNECT_TIMEOUT_S = 2.0
-_READ_TIMEOUT_S = 60.0
+_IDLE_TIMEOUT_S = 60.0
 _NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
@@ -67,7 +67,7 @@
         timeout = aiohttp.ClientTimeout(
             total=None,
             sock_connect=_CONNECT_TIMEOUT_S,
-            sock_read=_READ_TIMEOUT_S,
+            sock_read=_IDLE_TIMEOUT_S,
         )
         headers = {
             'X-Request-Id': call.run_id,
