--- a/lacewingpitch/account.py
+++ b/lacewingpitch/account.py
@@ -1,8 +1,10 @@
-"""The account of service: what each customer got, counted at one entry.
+"""The account of service: usage and outcome counters of each customer.
 
-A customer's row maps the number of a counter to its count.  Counts only
-grow while an incarnation lives, so a copy of a row is merged by taking
-the greater count of each: order, loss and repetition do not matter.
+An account belongs to one incarnation of one entry.  It has a row per
+customer, which maps counter numbers to counts.  Counts only increase
+during an incarnation, so copies of a row are merged by taking the
+greater count of each counter; the order, loss and repetition of copies
+do not matter.
 """
 
 import collections
@@ -30,7 +32,7 @@
 
 
 class AccountId(msgspec.Struct, frozen=True, array_like=True):
-    """Whose counts they are: one incarnation of one instance."""
+    """Identifies an account: one incarnation of one instance."""
 
     instance: str
     incarnation: str
@@ -41,7 +43,7 @@
 def new_account_id(
     settings: settings_module.ProcessSettings, started_at_s: float
 ) -> AccountId:
-    """Return the identity of a process that starts now."""
+    """Return the identifier for a new incarnation of an instance."""
     return AccountId(
         settings.instance,
         secrets.token_hex(4),
@@ -51,7 +53,7 @@
 
 
 class Account:
-    """The counts of one incarnation of an entry, row by customer.
+    """Counters of one incarnation of an entry, with a row per customer.
 
     The number of rows is bounded by the customers that have contracts,
     and the size of a row by `burn.expired_counters`.  Rows of idle
@@ -80,22 +82,25 @@
     def identify(
         self, tally: 'Tally', contract: contract_module.Contract
     ) -> None:
-        """Note whose request it is, as soon as that is known."""
+        """Attribute a request to a customer, and count it as received.
+
+        Call it as soon as the customer is known.
+        """
         tally.identify(contract)
         self.add(contract.customer, _ONE_RECEIVED)
 
     def pop_changes(self) -> dict[str, set[int]]:
-        """Return which counters changed since the last time."""
+        """Return and clear the numbers of changed counters, by customer."""
         changed, self._changed = self._changed, {}
         return changed
 
     def sweep(self, count: int) -> None:
-        """Drop expired slots and pack idle rows, `count` at a time."""
+        """Drop expired slots and pack idle rows, among the next `count`."""
         self.rows.sweep(count, self._clock.wall_s())
 
     @contextlib.contextmanager
     def track_request(self, request_id: str) -> Iterator['Tally']:
-        """Count one request that came in, in exactly one bucket."""
+        """Count one received request under exactly one outcome."""
         self.received_count += 1
         tally = Tally(request_id, self._clock)
         try:
@@ -107,7 +112,7 @@
             tally.record_internal_error()
             raise
         except BaseException:
-            # The server cancels a handler whose caller has vanished.
+            # The server cancels a handler whose caller has disconnected.
             tally.record_disconnect()
             raise
         finally:
@@ -131,7 +136,7 @@
 
 
 class Tally:
-    """What is known of one request while it is being answered.
+    """Measurements of one request: outcome, tokens, latencies.
 
     Parameters
     ----------
@@ -182,25 +187,32 @@
 
     @property
     def final_outcome(self) -> str:
-        """Return how the request ended, as text."""
+        """Return the outcome, or ``caller-gone`` after a disconnect."""
         if self._is_disconnected:
             return errors.ErrorKind.CALLER_GONE.value
         return self.outcome.value
 
     def identify(self, contract: contract_module.Contract) -> None:
-        """Note whose request it is."""
+        """Set the customer and the objective that applies."""
         self.customer = contract.customer
         self._objective = contract.objective
 
     def record_load_stall(self, header: str | None) -> None:
-        """Note the load stall that a sidecar's header tells."""
+        """Record the load stall, in seconds, from a sidecar's header.
+
+        Ignores a missing or invalid header: the stall then counts as not
+        measured.
+        """
         with contextlib.suppress(TypeError, ValueError):
             stall_s = float(header)  # type: ignore[arg-type]
             if math.isfinite(stall_s) and stall_s >= 0:
                 self.load_stall_s = stall_s
 
     def record_events(self, event_count: int) -> None:
-        """Note that so many events of a stream went out together."""
+        """Record that events of a stream were written together.
+
+        Each event counts as one token.
+        """
         if event_count <= 0:
             return
         now_s = self._clock.monotonic_s()
@@ -210,43 +222,46 @@
         else:
             self._record_gaps(now_s - self._last_event_at_s, 1)
         if event_count > 1:
-            # The others of the group came with no gap at all.
+            # The other events of the group follow without a gap.
             self._record_gaps(0.0, event_count - 1)
         self._last_event_at_s = now_s
 
     def set_token_count(self, token_count: int) -> None:
-        """Note how many tokens the answer has."""
+        """Set the answer's token count."""
         self.token_count = token_count
 
     def record_error(self, error: errors.RefusalError) -> None:
-        """Note that the answer is an error."""
+        """Record that the answer is an error."""
         self.outcome = error.outcome
         self.kind = error.kind.value
         self._is_disconnected = error.kind is errors.ErrorKind.CALLER_GONE
 
     def record_truncation(self) -> None:
-        """Note that a stream ended without its explicit end."""
+        """Record that a stream ended without its end marker."""
         self.outcome = errors.Outcome.PARTIAL
         self.kind = errors.ErrorKind.ANSWER_CUT.value
 
     def record_internal_error(self) -> None:
-        """Note that answering failed by a fault of this program."""
+        """Record that an internal error prevented the answer."""
         self.outcome = errors.Outcome.UNKNOWN
         self.kind = errors.ErrorKind.INTERNAL.value
 
     def record_disconnect(self) -> None:
-        """Note that the caller vanished before its answer was out."""
-        # A body that cannot be whole ends with its connection torn down
-        # by this program; the caller did not go of itself.
+        """Record that the connection closed.
+
+        The caller counts as gone only if its answer was not delivered.
+        """
+        # This program itself closes the connection of an answer that it
+        # cannot complete; the caller did not disconnect.
         is_truncated = self.outcome is errors.Outcome.PARTIAL
         self._is_disconnected = not self._is_delivered and not is_truncated
 
     def record_delivery(self) -> None:
-        """Note that the connection took the answer's last byte."""
+        """Record that the connection accepted the answer's last byte."""
         self._is_delivered = True
 
     def increments(self) -> account_rows.Row:
-        """Return what this request adds to its customer's row."""
+        """Return the counts to add to the customer's row."""
         row = {self._outcome_counter(): 1}
         if self.token_count:
             row[account_counters.Counter.TOKENS] = self.token_count
@@ -263,7 +278,7 @@
         return row
 
     def log_fields(self) -> dict[str, object]:
-        """Return the account line of this request."""
+        """Return the fields of this request's log line."""
         return {
             'request_id': self.request_id,
             'customer': self.customer,
--- a/lacewingpitch/account_copy.py
+++ b/lacewingpitch/account_copy.py
@@ -1,9 +1,10 @@
-"""Copies of the account at peers, so that it survives an instance.
+"""Replication of accounts to peers, so that they survive an instance.
 
-Each entry sends the counters that changed to a few others.  They are
-absolute counts, and a holder keeps the greater of two, so that a copy
-may be lost, late or repeated.  Nothing is agreed on: a holder only
-remembers, and a report merges what it reaches.
+Each entry sends the counters that changed to a few other entries, the
+holders.  The counters are absolute, and a holder keeps the greater of
+two counts, so messages may be lost, delayed or repeated.  There is no
+consensus: a holder only stores copies, and a report merges the copies
+that it can read.
 """
 
 import asyncio
@@ -27,9 +28,10 @@
 from lacewingpitch import node as node_module
 
 COPY_INTERVAL_S = 2.0
-# Before compression, which leaves about 0.4 of it: with two holders and
-# a message each interval, 1.6 KB/s at most.
+# Size before compression, which reduces it to about 0.4.  With two
+# holders and one message to each per interval, that is 1.6 KB/s at most.
 MAX_BATCH_BYTES = 4096
+# For accounts of instances that have ended.
 MAX_ENDED_BATCH_BYTES = 1024
 MAX_HELD_ACCOUNTS = 1024
 MAX_HELD_ROWS = 120_000
@@ -43,17 +45,20 @@
 
 
 class AccountHead(link.Message, frozen=True):
-    """What a process knows of one account, but for its rows.
+    """Metadata of one account, or of a copy of it.
 
     Parameters
     ----------
+    account_id
+        Identifies the account.
     complete_until_s
-        The rows lack nothing that was counted before, by the clock of
-        the account's own instance; 0 while they are being filled.
+        The rows include everything that was counted before this time,
+        by the clock of the account's own instance; 0 during a full sync.
     is_final
-        Whether the instance ended gracefully, with nothing left out.
+        Whether the instance ended gracefully and the rows are complete.
     copy_id
-        Identifies the holder's copy; it changes when the copy is lost.
+        Identifies the holder's copy; a holder that lost its copy starts
+        one with a new identifier.
     """
 
     account_id: account_module.AccountId
@@ -63,11 +68,12 @@
 
 
 class AccountCopy(link.Message, frozen=True):
-    """Counters of one account that changed, for one holder.
+    """Changed counters of one account, sent to one holder.
 
-    ``head.copy_id`` is the copy that the sender believes to add to.
-    The rows are compressed: their counter numbers repeat from customer
-    to customer, and control messages have few bytes a second.
+    ``head.copy_id`` identifies the copy that the sender expects the
+    holder to have.  The rows are compressed, because the same counter
+    numbers recur for every customer and the bandwidth of control
+    messages is limited.
     """
 
     head: AccountHead
@@ -75,12 +81,13 @@
 
     @property
     def rows(self) -> dict[str, account_rows.Row]:
-        """Return the rows.
+        """Decompress and decode the rows.
 
         Raises
         ------
         LinkError
-            They cannot be decoded, or are larger than any sender's.
+            The rows cannot be decoded, or exceed the size that any
+            sender produces.
         """
         decompressor = zlib.decompressobj()
         try:
@@ -89,25 +96,28 @@
             )
             return _ROWS_DECODER.decode(data)
         except (zlib.error, msgspec.DecodeError) as error:
-            raise errors.LinkError(f'rows cannot be read: {error}') from error
+            raise errors.LinkError(f'cannot decode rows: {error}') from error
 
 
 def make_copy(
     head: AccountHead, rows: Mapping[str, account_rows.Row]
 ) -> AccountCopy:
-    """Return the message that carries these rows."""
+    """Return the message that carries rows, compressed."""
     data = msgspec.msgpack.encode(rows)
     return AccountCopy(head=head, packed_rows=zlib.compress(data))
 
 
 class AccountCopied(link.Message, frozen=True):
-    """Confirms a copy, and says to which copy it was added."""
+    """Acknowledges an `AccountCopy`, with the copy that it was merged into."""
 
     copy_id: str
 
 
 class HeldAccount:
-    """The copy of an account, as one holder has it."""
+    """A holder's copy of one account.
+
+    ``generation`` increases with every change of the copy.
+    """
 
     def __init__(self, account_id: account_module.AccountId) -> None:
         self.account_id = account_id
@@ -119,7 +129,7 @@
 
     @property
     def head(self) -> AccountHead:
-        """Return what is known but for the rows."""
+        """Return the metadata of this copy."""
         return AccountHead(
             account_id=self.account_id,
             complete_until_s=self.complete_until_s,
@@ -128,14 +138,14 @@
         )
 
     def merge(self, message: AccountCopy) -> None:
-        """Take over a copy; it may come late or twice."""
+        """Merge a message, which may be delayed or repeated."""
         for customer, row in message.rows.items():
             if account_rows.merge(self.rows.writable_row(customer), row):
                 self.generation += 1
-        # A holder that restarted, or dropped the copy, has only what came
-        # since.  If it took over the sender's claim of completeness, a
-        # report would show too little and state no gap.  The claim is
-        # made of one copy, so it is void for any other.
+        # A holder that restarted or evicted the copy has only the rows
+        # that arrived since.  If it adopted the sender's completeness
+        # time, a report would lack counts without stating a gap.  The
+        # time is valid only for the copy that the message names.
         head = message.head
         if head.copy_id != self.copy_id:
             return
@@ -149,7 +159,15 @@
 
 
 class CopyHolder:
-    """The accounts of others that this process keeps, within a bound."""
+    """Copies of other instances' accounts, held up to a capacity.
+
+    Parameters
+    ----------
+    capacity_accounts
+        Maximum number of copies.
+    capacity_rows
+        Maximum number of rows over all copies.
+    """
 
     def __init__(
         self,
@@ -165,17 +183,17 @@
 
     @property
     def accounts(self) -> tuple[HeldAccount, ...]:
-        """Return the copies, least recently added to first."""
+        """Return the copies, least recently updated first."""
         return tuple(self._held.values())
 
     def account(
         self, account_id: account_module.AccountId
     ) -> HeldAccount | None:
-        """Return the copy of one account."""
+        """Return the copy of one account, or ``None``."""
         return self._held.get(account_id)
 
     async def merge(self, message: AccountCopy) -> AccountCopied:
-        """Take over a copy; when full, drop the one longest unused."""
+        """Merge a message; evict the least recently updated copies if full."""
         account_id = message.head.account_id
         held = self._held.get(account_id)
         if held is None:
@@ -184,11 +202,14 @@
         self._held.move_to_end(account_id)
         while self._is_over_capacity():
             dropped, _ = self._held.popitem(last=False)
-            log.warning('copy dropped', instance=dropped.instance)
+            log.warning('account copy evicted', instance=dropped.instance)
         return AccountCopied(copy_id=held.copy_id)
 
     def iterate_round_robin(self) -> Iterator[HeldAccount]:
-        """Return the copies that have not had their turn yet."""
+        """Return an iterator that resumes where the last one stopped.
+
+        A new pass over all copies begins when the last one is exhausted.
+        """
         first = next(self._round_robin, None)
         if first is None:
             self._round_robin = iter(self.accounts)
@@ -197,7 +218,7 @@
         return self._round_robin
 
     def sweep(self, count: int, now_s: float) -> None:
-        """Drop expired slots and pack idle rows, `count` of each copy."""
+        """Drop expired slots and pack idle rows, `count` rows per copy."""
         for held in self._held.values():
             held.rows.sweep(count, now_s)
 
@@ -213,17 +234,30 @@
 
 @dataclasses.dataclass(slots=True)
 class _PendingCounters:
-    """Counters of one customer that a holder may lack."""
+    """Counters of one customer that a holder may lack.
+
+    Parameters
+    ----------
+    missing_since_s
+        The holder has every change before this time; 0 where unknown.
+    numbers
+        Numbers of the counters.
+    """
 
     missing_since_s: float
     numbers: set[int]
 
 
 class Backlog:
-    """What one holder still lacks of one account.
+    """Counters of one account that one holder has not acknowledged.
+
+    The size is bounded by that of the account: a counter that changes
+    again while it is pending is sent once, with its newest count.
 
-    It is bounded by the account itself: a customer's counters that
-    change again while they wait are sent once, with the newest counts.
+    Parameters
+    ----------
+    rows
+        Rows of the account.
     """
 
     def __init__(self, rows: account_rows.RowTable) -> None:
@@ -238,21 +272,29 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the holder has all that is known."""
+        """Whether nothing is left to send."""
         return not self._pending and not self._full_sync_customers
 
     def start_full_sync(self) -> None:
-        """Begin again with every counter."""
+        """Send every row again."""
         self._pending = {}
         self._full_sync_customers = collections.deque(self._rows)
 
     def record_changes(
         self, changed: Mapping[str, Iterable[int]], until_s: float
     ) -> None:
-        """Note all that has changed until a time."""
+        """Add the counters that changed since the last call.
+
+        Parameters
+        ----------
+        changed
+            Numbers of the changed counters, by customer.
+        until_s
+            All changes up to this time are included.
+        """
         for customer, numbers in changed.items():
-            # The first of them may have changed right after the last
-            # time that this was called.
+            # The counters may have changed at any time since the last
+            # call, so they count as missing from then on.
             pending = self._pending.setdefault(
                 customer, _PendingCounters(self._recorded_until_s, set())
             )
@@ -262,11 +304,12 @@
     def next_copy(
         self, head: AccountHead, max_bytes: int = MAX_BATCH_BYTES
     ) -> AccountCopy:
-        """Return the next message: what waits longest, then the refill.
+        """Return the next message: oldest changes, then the full sync.
 
-        It claims to be complete until the oldest change that is left
-        over, and for nothing while a refill goes on.  What it takes is
-        gone from here; see `confirm` and `lost`.
+        The message is complete until the oldest change that remains, or
+        states no completeness while a full sync is in progress.  Its
+        counters leave the backlog; pass the message to `confirm` or
+        `requeue` afterwards.
         """
         rows = self._pop_pending(max_bytes)
         size = sum(_estimate_row_bytes(c, r) for c, r in rows.items())
@@ -280,10 +323,10 @@
         return make_copy(sent, rows)
 
     def confirm(self, message: AccountCopy, reply: AccountCopied) -> bool:
-        """Note that a holder has a message; return if all is well.
+        """Apply an acknowledgement; return whether the copy is intact.
 
-        A reply of another copy means that the holder lost the one that
-        was being filled, so everything is sent anew.
+        A reply that names another copy means that the holder lost the
+        earlier one, so a full sync starts.
         """
         if reply.copy_id == message.head.copy_id:
             self.is_final = message.head.is_final
@@ -293,16 +336,16 @@
         return False
 
     def requeue(self, message: AccountCopy) -> None:
-        """Note that a message was not confirmed: it goes first again."""
-        # Nobody knows since when its counters have been lacking, so that
-        # nothing is claimed until they are through.
+        """Put an unacknowledged message's counters first in the backlog."""
+        # It is unknown since when the holder lacks these counters, so no
+        # completeness is stated until they are sent.
         requeued = {
             customer: _PendingCounters(0.0, set(row))
             for customer, row in message.rows.items()
         }
         for customer, pending in self._pending.items():
-            found = requeued.setdefault(customer, pending)
-            found.numbers.update(pending.numbers)
+            merged = requeued.setdefault(customer, pending)
+            merged.numbers.update(pending.numbers)
         self._pending = requeued
 
     def _complete_until_s(self, head: AccountHead) -> float:
@@ -342,17 +385,18 @@
 
 
 class AccountCopier:
-    """Keeps the copies of this process's account up to date.
+    """Replicates this process's account to its holders.
 
     Parameters
     ----------
     node
-        The process, its peers and its view of others.
+        The process, its peers and its view of the membership.
     account
         The account to copy.
     holder
-        Copies that others keep here; those of ended instances are sent
-        on when one of their holders is lost.
+        Copies of other instances' accounts that this process holds.
+        Those of ended instances are copied to new holders when one of
+        their holders is lost.
     """
 
     def __init__(
@@ -377,7 +421,7 @@
         self._task: asyncio.Task[None]
 
     def start(self) -> None:
-        """Copy from now on."""
+        """Start a task that copies the account once per interval."""
         self._task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
@@ -386,16 +430,17 @@
             try:
                 await self.copy_once()
             except Exception:
-                # A fault in one round must not end the copies: the next
-                # loss of this instance would lose all since.
+                # An error in one round must not stop the replication:
+                # everything counted afterwards would be lost with this
+                # instance.
                 log.exception('copy round failed')
 
     def age_s(self) -> float:
-        """Return how long ago the account was last copied whole."""
+        """Return the seconds since the account was last copied completely."""
         return self._node.clock.wall_s() - self._copied_until_s
 
     def own_head(self, *, is_final: bool = False) -> AccountHead:
-        """Return what is known of this process's own account now."""
+        """Return the metadata of this process's own account."""
         return AccountHead(
             account_id=self._account.account_id,
             complete_until_s=self._node.clock.wall_s(),
@@ -403,7 +448,10 @@
         )
 
     async def copy_once(self, *, is_final: bool = False) -> None:
-        """Send one message to each holder."""
+        """Send one message to each holder, and sweep the rows.
+
+        Also sends on the copy of at most one ended instance.
+        """
         self._record_departed()
         self._account.sweep(_ROWS_PER_SWEEP)
         self._holder.sweep(_ROWS_PER_SWEEP, self._node.clock.wall_s())
@@ -411,17 +459,20 @@
         await self._copy_ended_account()
 
     async def close(self, timeout_s: float) -> None:
-        """Stop; send what is left, and say that it is all."""
+        """Stop; send the rest of the account and mark it as final.
+
+        Gives up after `timeout_s`, with a warning.
+        """
         self._task.cancel()
-        # A cancelled wait on a link has been seen not to return; the
-        # last copies must not wait for it.
+        # A cancelled wait on a link may fail to return; the last copies
+        # must not wait for it.
         await asyncio.wait({self._task}, timeout=_REQUEST_TIMEOUT_S)
         try:
             async with asyncio.timeout(timeout_s):
                 while not await self._is_all_copied():
                     await asyncio.sleep(0)
         except TimeoutError:
-            log.warning('account not copied whole')
+            log.warning('account not copied completely')
 
     async def _is_all_copied(self) -> bool:
         await self.copy_once(is_final=True)
@@ -448,12 +499,12 @@
         )
 
     async def _copy_ended_account(self) -> None:
-        # The copies of an ended instance have no owner left to renew
-        # them: with each holder that is replaced one would go, until the
-        # account is lost.  So a holder sends its copy on to whoever the
-        # hash now names; merging makes a second sender harmless.  One
-        # account a round, in turn, also when nothing is due: only the
-        # reply tells that a holder has lost its copy.
+        # An ended instance cannot renew its copies: each replaced holder
+        # would lose one, until the account is gone.  So every holder
+        # sends its copy to the holders that the hash now selects; merging
+        # makes several senders harmless.  Each round sends one account,
+        # round-robin, even without changes, because only the reply shows
+        # that a holder has lost its copy.
         listed = {entry.name: entry for entry in self._entries()}
         for held in self._holder.iterate_round_robin():
             if _has_ended(held.account_id, listed):
@@ -558,10 +609,10 @@
     account_id: account_module.AccountId,
     listed: Mapping[str, live_list.Instance],
 ) -> bool:
-    found = listed.get(account_id.instance)
-    if found is None:
+    entry = listed.get(account_id.instance)
+    if entry is None:
         return True
-    return found.started_at_s > account_id.started_at_s
+    return entry.started_at_s > account_id.started_at_s
 
 
 def _estimate_row_bytes(customer: str, row: account_rows.Row) -> int:
--- a/lacewingpitch/account_query.py
+++ b/lacewingpitch/account_query.py
@@ -1,4 +1,4 @@
-"""Reading accounts, own and held, over control messages."""
+"""Control messages that read an account or a held copy, in pages."""
 
 import heapq
 
@@ -13,7 +13,10 @@
 
 
 class DepartedEntry(msgspec.Struct, frozen=True):
-    """An entry that has left the list of instances."""
+    """An entry that has left the list of instances.
+
+    ``gone_at_s`` is when the replying process found it missing.
+    """
 
     instance: str
     availability_zone: str
@@ -22,16 +25,17 @@
 
 
 class AccountRequest(link.Message, frozen=True):
-    """Asks for rows of one account.
+    """Requests a page of rows of one account.
 
     Parameters
     ----------
     account_id
-        Whose account; the asked process's own where ``None``.
+        The account to read; ``None`` for the receiver's own.
     customer
-        Only this customer's row; all rows where ``None``.
+        Read only this customer's row; ``None`` for all rows.
     after
-        Only customers above this name: where the last page ended.
+        Read only customers that sort after this name: the last one of
+        the previous page.
     """
 
     account_id: account_module.AccountId | None = None
@@ -40,10 +44,20 @@
 
 
 class AccountReply(link.Message, frozen=True):
-    """One page of rows, and what else the process knows.
+    """A page of rows, with the copies held and the departed entries.
 
-    ``head`` is ``None`` where it has no such account; ``next_after``
-    is ``None`` on the last page.
+    Parameters
+    ----------
+    head
+        Metadata of the account; ``None`` if the process has no copy.
+    rows
+        Rows by customer, in the order of names.
+    next_after
+        ``after`` of the next request; ``None`` on the last page.
+    held
+        Metadata of every copy that the process holds.
+    departed
+        Entries that the process saw leave the list.
     """
 
     head: account_copy.AccountHead | None
@@ -54,7 +68,17 @@
 
 
 class AccountReader:
-    """Answers requests for the accounts that this process knows."""
+    """Answers requests for this process's account and its held copies.
+
+    Parameters
+    ----------
+    account
+        This process's own account.
+    holder
+        Copies of other instances' accounts.
+    copier
+        Knows the metadata of the own account and the departed entries.
+    """
 
     def __init__(
         self,
@@ -67,7 +91,7 @@
         self._copier = copier
 
     async def answer(self, request: AccountRequest) -> AccountReply:
-        """Return one page of what was asked for."""
+        """Return the requested page."""
         head, rows = self._find(request.account_id)
         page, next_after = _select_page(rows, request)
         return AccountReply(
--- a/lacewingpitch/collected_accounts.py
+++ b/lacewingpitch/collected_accounts.py
@@ -1,4 +1,4 @@
-"""What was read of the accounts of all instances, from them or copies."""
+"""Accounts collected for a report, from their instances or from copies."""
 
 from collections.abc import Iterable, Mapping
 import dataclasses
@@ -12,7 +12,21 @@
 
 @dataclasses.dataclass(slots=True)
 class AccountSnapshot:
-    """What was read of one account, from itself or from copies."""
+    """Rows read of one account, merged from all sources.
+
+    Parameters
+    ----------
+    account_id
+        Identifies the account.
+    rows
+        Rows by customer.
+    is_direct
+        Whether the instance itself was read completely.
+    is_final
+        Whether the instance ended gracefully and a source is complete.
+    complete_until_s
+        The rows include everything counted before; 0 where unknown.
+    """
 
     account_id: account_module.AccountId
     rows: dict[str, account_rows.Row] = dataclasses.field(default_factory=dict)
@@ -21,12 +35,12 @@
     complete_until_s: float = 0.0
 
     def merge(self, rows: Mapping[str, account_rows.Row]) -> None:
-        """Take over rows, the greater of two counts."""
+        """Merge rows, keeping the greater of two counts."""
         for customer, row in rows.items():
             account_rows.merge(self.rows.setdefault(customer, {}), row)
 
     def record_head(self, head: account_copy.AccountHead) -> None:
-        """Note what the rows that were read claim to hold."""
+        """Merge the metadata of a source whose rows were all read."""
         self.is_final = self.is_final or head.is_final
         self.complete_until_s = max(
             self.complete_until_s, head.complete_until_s
@@ -34,10 +48,10 @@
 
 
 class CollectedAccounts:
-    """Everything that could be read for one report.
+    """Everything that was read for one report.
 
-    `holders` are those that have a copy of an account; ``None`` is this
-    process itself.
+    ``holders`` lists the entries that hold a copy of an account, where
+    ``None`` stands for this process.
     """
 
     def __init__(self) -> None:
@@ -50,7 +64,7 @@
     def snapshot(
         self, account_id: account_module.AccountId
     ) -> AccountSnapshot:
-        """Return what was read of one account, as yet nothing if new."""
+        """Return the snapshot of one account, created empty if new."""
         return self.snapshots.setdefault(
             account_id, AccountSnapshot(account_id)
         )
@@ -60,7 +74,7 @@
         reply: account_query.AccountReply,
         peer: live_list.Instance | None,
     ) -> None:
-        """Note who holds copies, and which instances are gone."""
+        """Record which copies a peer holds and which entries departed."""
         for head in reply.held:
             holders = self.holders.setdefault(head.account_id, [])
             if peer not in holders:
@@ -71,7 +85,7 @@
                 self.departed[departed.instance] = departed
 
     def reached_instances(self) -> set[str]:
-        """Return the instances that answered for themselves."""
+        """Return the instances whose own account was read."""
         return {
             snapshot.account_id.instance
             for snapshot in self.snapshots.values()
@@ -82,7 +96,7 @@
 def sum_rows(
     snapshots: Iterable[AccountSnapshot],
 ) -> dict[str, account_rows.Row]:
-    """Return the rows of all accounts, added up by customer."""
+    """Return the sum of all accounts' rows by customer."""
     found: dict[str, account_rows.Row] = {}
     for snapshot in snapshots:
         for name, row in snapshot.rows.items():
