--- a/lacewingpitch/burn.py
+++ b/lacewingpitch/burn.py
@@ -1,8 +1,12 @@
-"""Service-level burn: how fast a customer's error budget is spent.
+"""Burn rates: how fast a customer's error budget is spent.
 
-A burn rate of 1 spends the budget exactly over the period that the
-objective holds for.  An alert needs two windows at once, a long one so
-that it matters and a short one so that it ends soon after the fault.
+A burn rate of 1 spends the budget exactly over the period of the
+service-level objective.  An alert fires when the burn rate is high over
+two windows at once: the long one ignores brief errors, and the short
+one ends the alert soon after the fault.
+
+Requests are counted in time slots.  Each `Resolution` has slots of its
+own length; `Window` sums the recent slots of one resolution.
 """
 
 import collections
@@ -14,14 +18,15 @@
 from lacewingpitch import contract
 from lacewingpitch import errors
 
-# Within which share of streams the times of an objective hold; a stream
-# is slow when more than the rest of its own gaps between tokens are.
+# Share of streams that must meet the latencies of an objective.  A
+# stream is slow between tokens when more than the remaining share of its
+# gaps exceed the objective.
 LATENCY_RATIO = 0.95
-# Number of the first counter that belongs to a slot of a window.
+# Numbers from here on encode a slot, its resolution and a signal.
 FIRST_SLOT_COUNTER = 1024
 
-# Refusals that the contract itself asks for, or that the caller's own
-# request brings about, spend no budget.
+# Refusals that enforce the contract, or that the caller's own request
+# causes, spend no budget.
 _NO_BUDGET_KINDS = frozenset(
     {
         errors.ErrorKind.BAD_REQUEST,
@@ -41,7 +46,10 @@
 
 
 class Signal(enum.IntEnum):
-    """What is counted in each slot; numbers are never reused."""
+    """Counts kept per slot.
+
+    The numbers are part of the encoded counters and never reused.
+    """
 
     ANSWERS = 0
     FAILED = 1
@@ -51,7 +59,7 @@
 
 
 class Subject(enum.StrEnum):
-    """What an objective promises, each with an error budget."""
+    """Indicators of an objective, each with its own error budget."""
 
     SERVED = 'served'
     FIRST_TOKEN = 'first-token'
@@ -60,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resolution:
-    """Slots of one length, and how far back they are kept."""
+    """Length of time slots, and how long they are retained."""
 
     slot_s: int
     retention_s: int
@@ -68,7 +76,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """A stretch of time that ends now, summed from one resolution's slots."""
+    """A period that ends now.
+
+    Parameters
+    ----------
+    name
+        Label in reports.
+    length_s
+        Length of the period.
+    resolution
+        Index in `RESOLUTIONS` of the slots to sum.
+    """
 
     name: str
     length_s: int
@@ -77,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AlertRule:
-    """Two windows that must both burn faster than a threshold."""
+    """Fires when both windows reach a threshold of the burn rate."""
 
     long: Window
     short: Window
@@ -111,12 +129,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Burn:
-    """The burn of one subject over one window.
+    """Burn rate of one subject over one window.
 
     Parameters
     ----------
     burn_rate
-        Share that failed over the share that may fail; ``None`` where
+        Failed share divided by the share that may fail; ``None`` if
         nothing was counted.
     """
 
@@ -129,7 +147,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FiringAlert:
-    """An alert whose two windows both burn too fast."""
+    """An alert rule that fires for one subject."""
 
     subject: Subject
     severity: str
@@ -139,14 +157,22 @@
 
 
 def spends_budget(kind: errors.ErrorKind) -> bool:
-    """Return whether an error of this kind counts against the service."""
+    """Return whether an error kind counts against the error budget."""
     return kind not in _NO_BUDGET_KINDS
 
 
 def slot_increments(
     at_s: float, signals: Mapping[Signal, int]
 ) -> dict[int, int]:
-    """Return what to add to a row's counters for signals at a time."""
+    """Return the slot counters to increment for signals at a time.
+
+    Parameters
+    ----------
+    at_s
+        Wall clock time of the signals.
+    signals
+        Counts to add by signal.
+    """
     return {
         _encode_number(
             resolution, int(at_s // RESOLUTIONS[resolution].slot_s), signal
@@ -160,7 +186,7 @@
 def measure_burns(
     row: Mapping[int, int], objective: contract.Objective, now_s: float
 ) -> list[Burn]:
-    """Return the burn of each subject over each window."""
+    """Return the burn rate of each subject over each window."""
     counts = count_signals(row, now_s)
     return [
         _burn(counts, subject, window, budget)
@@ -170,7 +196,7 @@
 
 
 def firing_alerts(burns: list[Burn]) -> list[FiringAlert]:
-    """Return the alerts that fire at these burns."""
+    """Return the alerts that fire at these burn rates."""
     rates = {(b.subject, b.window): b.burn_rate or 0.0 for b in burns}
     return [
         FiringAlert(
@@ -188,10 +214,11 @@
 
 
 def expired_counters(row: Mapping[int, int], now_s: float) -> list[int]:
-    """Return the counters of slots that no window reaches any more.
+    """Return the counters of slots that are older than every window.
 
-    They are the bound of a row: it keeps at most as many slots of a
-    resolution as its longest window has, and two at its ends.
+    Removing them bounds the size of a row: per resolution, it keeps the
+    slots of the retention period and at most two partial ones at its
+    ends.
     """
     return [
         number
@@ -203,10 +230,10 @@
 def count_signals(
     row: Mapping[int, int], now_s: float
 ) -> collections.Counter[tuple[str, Signal]]:
-    """Return the count of each signal over each window, by its name.
+    """Return the counts by window name and signal.
 
-    The oldest slot that a window touches is counted whole, so the
-    window is up to one slot longer than its name says.
+    The oldest slot that overlaps a window counts completely, so a window
+    is up to one slot longer than its nominal length.
     """
     counts: collections.Counter[tuple[str, Signal]] = collections.Counter()
     for number, count in row.items():
@@ -222,10 +249,10 @@
 
 
 def is_copied(number: int) -> bool:
-    """Return whether a counter is worth copying to other instances.
+    """Return whether a counter is replicated to other instances.
 
-    Slots of a minute change with every answer and are out of date within
-    the hour; they would be a third of all bytes copied.
+    The one-minute slots are not: they change with every answer and
+    expire within the hour, and would be a third of all bytes copied.
     """
     return number < FIRST_SLOT_COUNTER or _decode_number(number)[0] > 0
 
@@ -273,5 +300,5 @@
 
 def _is_expired(number: int, now_s: float) -> bool:
     resolution, slot, _ = _decode_number(number)
-    found = RESOLUTIONS[resolution]
-    return (slot + 1) * found.slot_s < now_s - found.retention_s
+    slots = RESOLUTIONS[resolution]
+    return (slot + 1) * slots.slot_s < now_s - slots.retention_s
--- a/lacewingpitch/report.py
+++ b/lacewingpitch/report.py
@@ -1,4 +1,8 @@
-"""The report: read from all entries, assembled at one, fetched from it."""
+"""Assembly of the report at one entry, and its retrieval over HTTP.
+
+The report states what each customer got, from the accounts of all
+entries.  The entry that assembles it reads them with control messages.
+"""
 
 import asyncio
 from collections.abc import Mapping
@@ -23,15 +27,33 @@
 _FETCH_TIMEOUT_S = 30.0
 _MAX_CONCURRENT_REQUESTS = 16
 _REASONS_BY_STATUS = {
-    401: 'the token is neither that of the operators nor the API key of'
-    ' the customer named',
-    404: 'no report here, or the customer named has no contract',
+    401: 'the token is neither the operator token nor an API key of the'
+    ' named customer',
+    404: 'this server has no reports, or the named customer has no contract',
 }
 log = structlog.get_logger(__name__)
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """The account of service as one entry could assemble it."""
+    """The account of service, as far as one entry could read it.
+
+    Parameters
+    ----------
+    generated_at_s
+        Wall clock time.
+    generated_by
+        Instance that assembled the report.
+    customer
+        The only customer of the report; ``None`` for all.
+    services
+        Summaries by customer.
+    hidden_count
+        Customers omitted because of a limit.
+    sources
+        Accounts that the report was assembled from.
+    gaps
+        Periods whose counts may be missing.
+    """
 
     generated_at_s: float
     generated_by: str
@@ -48,9 +70,9 @@
     Parameters
     ----------
     node
-        The process, its peers and its view of others.
+        The process, its peers and its view of the membership.
     reader
-        The accounts that this process knows.
+        Reads this process's account and the copies that it holds.
     """
 
     def __init__(
@@ -65,10 +87,15 @@
     async def assemble(
         self, customer: str | None = None, limit: int | None = None
     ) -> Report:
-        """Return the account of all customers, or of one alone.
+        """Return a report of all customers, or of one.
 
-        With a `limit`, only so many customers, those with the most
-        requests.
+        Parameters
+        ----------
+        customer
+            Include only this customer.
+        limit
+            Include at most so many customers, those with the most
+            requests.
         """
         collected = collected_accounts.CollectedAccounts()
         peers = self._other_entries()
@@ -83,8 +110,8 @@
                 if not collected.snapshot(account_id).is_direct
             )
         )
-        # For thousands of customers this takes seconds, which the streams
-        # that pass through this process would see as a gap.
+        # With thousands of customers this takes seconds.  On the event
+        # loop, it would stall the streams that pass through this process.
         return await asyncio.to_thread(
             self._make_report, collected, customer, limit
         )
@@ -144,8 +171,8 @@
             after = reply.next_after
             if after is None:
                 break
-        # Only now are the rows whole: a snapshot that broke off keeps what
-        # it has, but claims nothing.
+        # The rows are complete only after the last page: a snapshot whose
+        # read failed keeps its rows, but states no completeness.
         snapshot.record_head(reply.head)
         snapshot.is_direct = snapshot.is_direct or account_id is None
 
@@ -217,12 +244,21 @@
 
 
 async def fetch(url: str, customer: str | None, token: str) -> bytes:
-    """Return a report as JSON, from the entry at `url`.
+    """Fetch a report as JSON from the entry at `url`.
+
+    Parameters
+    ----------
+    url
+        Base URL of an entry.
+    customer
+        Fetch only this customer's report; ``None`` for all customers.
+    token
+        The operators' token, or an API key of the customer.
 
     Raises
     ------
     PlatformError
-        The entry did not answer, or does not accept the token.
+        The entry did not answer, or refused the request.
     """
     path = f'/report/customers/{customer}' if customer else '/report'
     timeout = aiohttp.ClientTimeout(total=_FETCH_TIMEOUT_S)
--- a/lacewingpitch/report_gaps.py
+++ b/lacewingpitch/report_gaps.py
@@ -1,4 +1,4 @@
-"""What a report may lack: whose counts, and for which time."""
+"""Gaps of a report: instances and periods whose counts may be missing."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,10 @@
 
 
 class Gap(msgspec.Struct, frozen=True, kw_only=True):
-    """What the report may lack: whose counts, from when until when."""
+    """A period of one instance whose counts may be missing.
+
+    ``from_s`` and ``to_s`` are ``None`` where the time is unknown.
+    """
 
     instance: str
     availability_zone: str
@@ -24,13 +27,22 @@
     listed: list[live_list.Instance],
     now_s: float,
 ) -> Iterable[Gap]:
-    """Return what a report may lack.
-
-    A report that shows too little and does not say so is worse than
-    none: whoever it is handed to takes it for the whole account.
+    """Return the gaps of a report.
+
+    Readers take a report without stated gaps as complete, so a report
+    that omits counts silently is worse than none.
+
+    Parameters
+    ----------
+    collected
+        Accounts that were read.
+    listed
+        Other entries in the list of instances.
+    now_s
+        End of the gap of an instance that may still be running.
     """
     listed_names = {entry.name for entry in listed}
-    yield from _snapshot_gaps(collected, listed_names, now_s)
+    yield from _find_snapshot_gaps(collected, listed_names, now_s)
     known = collected.reached_instances() | {
         snapshot.account_id.instance
         for snapshot in collected.snapshots.values()
@@ -46,7 +58,7 @@
             yield _departed_gap(departed)
 
 
-def _snapshot_gaps(
+def _find_snapshot_gaps(
     collected: collected_accounts.CollectedAccounts,
     listed_names: set[str],
     now_s: float,
@@ -91,7 +103,7 @@
 ) -> Gap:
     account_id = snapshot.account_id
     is_complete = snapshot.complete_until_s > 0
-    cause = 'not reached' if is_unreached else 'ended without its last copy'
+    cause = 'not reached' if is_unreached else 'ended without a final copy'
     source = (
         'a copy was read' if is_complete else 'only part of a copy was read'
     )
@@ -122,6 +134,7 @@
     collected: collected_accounts.CollectedAccounts,
     now_s: float,
 ) -> float:
+    # The latest time at which the incarnation may still have counted.
     account_id = snapshot.account_id
     successors = [
         other.account_id.started_at_s
