--- a/lacewingpitch/account_counters.py
+++ b/lacewingpitch/account_counters.py
@@ -1,4 +1,7 @@
-"""The numbers of the counters in a row, and what a row says by them."""
+"""Counter numbers of a row, and the totals and histograms of a row.
+
+Histograms have exponential buckets, four per doubling of the time.
+"""
 
 import bisect
 from collections.abc import Mapping
@@ -19,7 +22,7 @@
 _OTHER_KIND = 0
 
 # Two versions of the system count together during a rolling upgrade, so
-# a kind keeps its number for good; new kinds take new numbers.
+# the number of a kind never changes, and new kinds get new numbers.
 KIND_NUMBERS: Mapping[str, int] = {
     'bad-request': 1,
     'body-too-large': 2,
@@ -58,7 +61,7 @@
 
 
 class Counter(enum.IntEnum):
-    """Numbers of the plain counters; they are never reused."""
+    """Numbers of the plain counters, which are never reused."""
 
     RECEIVED = 0
     SERVED = 1
@@ -78,7 +81,7 @@
 
 
 def bucket_limit_s(bucket: int) -> float:
-    """Return the longest time that falls into a bucket."""
+    """Return the upper bound of a bucket, inclusive, in seconds."""
     return float(_SMALLEST_S * 2 ** (bucket / _BUCKETS_PER_DOUBLING))
 
 
@@ -86,12 +89,12 @@
 
 
 def bucket_of(time_s: float) -> int:
-    """Return the bucket of a time, each a quarter doubling wide."""
+    """Return the bucket of a time."""
     return bisect.bisect_left(_BUCKET_LIMITS_S, time_s)
 
 
 def histogram(row: Mapping[int, int], of: Histogram) -> dict[int, int]:
-    """Return the counts by bucket of one histogram."""
+    """Return one histogram's counts by bucket."""
     return {
         bucket: row[of + bucket]
         for bucket in range(_LAST_BUCKET + 1)
@@ -100,7 +103,20 @@
 
 
 def quantile_s(counts: Mapping[int, int], ratio: float) -> float | None:
-    """Return the time within which `ratio` of the counts lie."""
+    """Return a quantile, rounded up to the upper bound of its bucket.
+
+    Parameters
+    ----------
+    counts
+        Counts by bucket.
+    ratio
+        Share of the counts that are at most the returned time.
+
+    Returns
+    -------
+    float | None
+        Time in seconds; ``None`` without counts.
+    """
     threshold = ratio * sum(counts.values())
     cumulative_count = 0
     for bucket in sorted(counts):
@@ -111,7 +127,7 @@
 
 
 def ended_count(row: Mapping[int, int]) -> int:
-    """Return how many requests came to an end, whatever the end."""
+    """Return the number of ended requests, over all outcomes."""
     ended = row.get(Counter.SERVED, 0) + row.get(Counter.CALLER_GONE, 0)
     return ended + sum(
         sum(ended_by_kind(row, outcome).values())
@@ -122,7 +138,10 @@
 def ended_by_kind(
     row: Mapping[int, int], outcome: errors.Outcome
 ) -> dict[str, int]:
-    """Return the requests of one outcome that was not whole, by kind."""
+    """Return the requests of one outcome other than served, by kind.
+
+    Kinds that this version does not know are counted as ``other``.
+    """
     base = _BASE_BY_OUTCOME[outcome]
     return {
         _KIND_NAMES.get(number, 'other'): row[base + number]
@@ -133,5 +152,5 @@
 
 @functools.cache
 def kind_counter(outcome: errors.Outcome, kind: str) -> int:
-    """Return the counter of requests that ended so."""
+    """Return the counter of requests with this outcome and error kind."""
     return _BASE_BY_OUTCOME[outcome] + KIND_NUMBERS.get(kind, _OTHER_KIND)
--- a/lacewingpitch/account_holders.py
+++ b/lacewingpitch/account_holders.py
@@ -1,4 +1,4 @@
-"""Which entries hold the copies of an account."""
+"""Selection of the entries that hold copies of an account."""
 
 from lacewingpitch import account as account_module
 from lacewingpitch import live_list
@@ -12,10 +12,20 @@
     region: str,
     others: list[live_list.Instance],
 ) -> list[live_list.Instance]:
-    """Return who holds the copies of an account.
+    """Return the entries that hold copies of an account.
 
-    They are chosen by rendezvous hash, within the region if it has
-    enough, each in another availability zone where there are such.
+    They are selected by rendezvous hash, within the region if it has
+    enough entries, and in different availability zones where possible,
+    none of them that of the account's own instance.
+
+    Parameters
+    ----------
+    account_id
+        Identifies the account.
+    region
+        Preferred region.
+    others
+        Candidates, without the account's own instance.
     """
     near = [entry for entry in others if entry.region == region]
     pool = near if len(near) >= COPY_COUNT else others
--- a/lacewingpitch/account_metrics.py
+++ b/lacewingpitch/account_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the account of one entry instance."""
+"""Metrics of one entry's account and its replication."""
 
 from lacewingpitch import account as account_module
 from lacewingpitch import account_copy
@@ -11,10 +11,11 @@
     holder: account_copy.CopyHolder,
     copier: account_copy.AccountCopier,
 ) -> None:
-    """Offer the totals of an account; customers are in the report.
+    """Add the totals of an account, without a label for customers.
 
     A time series for each of 36,000 customers would cost every reader
-    more than the account itself.
+    of the metrics more than the account itself.  The report has the
+    counts by customer.
     """
     metrics.counter(
         'requests_received_total',
--- a/lacewingpitch/account_rows.py
+++ b/lacewingpitch/account_rows.py
@@ -1,4 +1,4 @@
-"""Rows of counters by customer, packed while a customer is idle."""
+"""Counter rows by customer, stored packed while a customer is idle."""
 
 from collections.abc import Iterator, Mapping
 import itertools
@@ -13,7 +13,7 @@
 
 
 def merge(row: Row, other: Mapping[int, int]) -> bool:
-    """Merge another copy of the same row; return if anything grew."""
+    """Merge another copy of the same row; return whether a count grew."""
     grew = False
     for number, count in other.items():
         if count > row.get(number, 0):
@@ -23,16 +23,18 @@
 
 
 def add(row: Row, other: Mapping[int, int]) -> None:
-    """Add the row of another incarnation to `row`."""
+    """Add the counts of `other` to `row`."""
     for number, count in other.items():
         row[number] = row.get(number, 0) + count
 
 
 class RowTable:
-    """Rows by customer; those that two sweeps find unused are packed.
+    """Rows by customer, of which idle ones are stored packed.
 
     Most customers are idle at any moment.  A packed row takes about a
-    tenth of a dictionary, and is unpacked when it is next written to.
+    tenth of the memory of a dictionary.  `sweep` packs the rows that were
+    not written to since it last visited them; the next write unpacks
+    them.
     """
 
     def __init__(self) -> None:
@@ -48,7 +50,7 @@
         return itertools.chain(tuple(self._active), tuple(self._packed))
 
     def row(self, customer: str) -> Mapping[int, int]:
-        """Return a customer's row, to be read only."""
+        """Return a customer's row for reading; empty if there is none."""
         found = self._active.get(customer)
         if found is not None:
             return found
@@ -56,7 +58,10 @@
         return {} if packed is None else _DECODER.decode(packed)
 
     def writable_row(self, customer: str) -> Row:
-        """Return a customer's row, to be written to at once."""
+        """Return a customer's row for writing, created if there is none.
+
+        Don't keep it: a later sweep may replace it by a packed row.
+        """
         self._written_since_sweep.add(customer)
         found = self._active.get(customer)
         if found is None:
@@ -66,7 +71,15 @@
         return found
 
     def sweep(self, count: int, now_s: float) -> None:
-        """Drop expired slots of `count` active rows, and pack the idle."""
+        """Drop expired slots of the next `count` active rows; pack idle rows.
+
+        Parameters
+        ----------
+        count
+            Maximum number of rows to visit; the next call goes on there.
+        now_s
+            Wall clock time.
+        """
         batch = list(itertools.islice(self._sweep_order, count))
         if len(batch) < count:
             self._sweep_order = iter(tuple(self._active))
