--- a/lacewingpitch/metrics.py
+++ b/lacewingpitch/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, in the text form that Prometheus reads."""
+"""Registry of a process's metrics, in Prometheus' exposition format."""
 
 from collections.abc import Callable, Mapping
 import math
@@ -7,8 +7,8 @@
 import aioprometheus
 from aioprometheus import renderer
 
-# From the shortest answers of plain services to the longest that callers
-# wait for the beginning of a stream.
+# From the shortest answers of plain services to the longest time that
+# callers wait for the first event of a stream.
 _SECONDS_BUCKETS = (
     0.01,
     0.025,
@@ -29,7 +29,10 @@
 
 
 class Metrics:
-    """A registry whose values are read when they are asked for."""
+    """Registry of metrics whose values are read at each scrape.
+
+    Every metric has the labels ``instance`` and ``availability_zone``.
+    """
 
     def __init__(self, instance: str, availability_zone: str) -> None:
         self._registry = aioprometheus.Registry()
@@ -40,7 +43,7 @@
         self._readers: list[Callable[[], None]] = []
 
     def gauge(self, name: str, doc: str, read: Read) -> None:
-        """Offer a value that goes up and down."""
+        """Add a gauge: a value that can go up and down."""
         metric = aioprometheus.Gauge(
             f'lacewingpitch_{name}',
             doc,
@@ -50,14 +53,14 @@
         self._readers.append(lambda: metric.set({}, read()))
 
     def counter(self, name: str, doc: str, read: Read) -> None:
-        """Offer a value that only grows while the process lives."""
+        """Add a counter: a value that only increases in a process."""
         metric = self._counter(name, doc)
         self._readers.append(lambda: metric.set({}, read()))
 
     def counter_by(
         self, name: str, doc: str, label: str, read: ReadByLabel
     ) -> None:
-        """Offer growing values that one label tells apart."""
+        """Add a counter with a label; `read` returns values by label."""
         metric = self._counter(name, doc)
 
         def update() -> None:
@@ -67,7 +70,7 @@
         self._readers.append(update)
 
     def duration_histogram(self, name: str, doc: str) -> 'DurationHistogram':
-        """Offer a distribution of times."""
+        """Add a histogram of durations in seconds."""
         return DurationHistogram(
             aioprometheus.Histogram(
                 f'lacewingpitch_{name}',
@@ -79,7 +82,7 @@
         )
 
     async def answer(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``/metrics``."""
+        """Answer a request for ``/metrics``."""
         for update in self._readers:
             update()
         content, headers = renderer.render(
@@ -97,11 +100,11 @@
 
 
 class DurationHistogram:
-    """A distribution of times, told apart by one label."""
+    """Histogram of durations in seconds, with one label."""
 
     def __init__(self, histogram: aioprometheus.Histogram) -> None:
         self._histogram = histogram
 
     def observe(self, label: str, value: str, seconds: float) -> None:
-        """Take note of one time."""
+        """Record one duration under a label and its value."""
         self._histogram.observe({label: value}, seconds)
--- a/lacewingpitch/metrics_server.py
+++ b/lacewingpitch/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves the metrics of a daemon at an address of their own."""
+"""HTTP server for a process's metrics, at a separate address."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -10,14 +10,14 @@
 
 _PATH = '/metrics'
 _NOT_FOUND = 404
-_CLOSE_S = 0.1
+_SHUTDOWN_TIMEOUT_S = 0.1
 
 
 @contextlib.asynccontextmanager
 async def serving(
     metrics: metrics_module.Metrics, ip: str, port: int
 ) -> AsyncIterator[None]:
-    """Answer ``/metrics`` while the context lasts."""
+    """Serve ``/metrics`` until the context exits."""
 
     async def answer(request: web.BaseRequest) -> web.Response:
         if request.path != _PATH:
@@ -26,7 +26,7 @@
 
     runner = web.ServerRunner(
         web.Server(answer, access_log=None, logger=http_guard.DISABLED_LOGGER),
-        shutdown_timeout=_CLOSE_S,
+        shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
     )
     await runner.setup()
     try:
