--- a/lacewingpitch/report_content.py
+++ b/lacewingpitch/report_content.py
@@ -1,4 +1,4 @@
-"""What a report says of a customer and of an account, from its rows."""
+"""Contents of a report: summaries of customers and of accounts read."""
 
 import msgspec
 
@@ -14,7 +14,22 @@
 
 
 class LatencySummary(msgspec.Struct, frozen=True):
-    """A histogram of times, and the usual points of it."""
+    """Histogram of latencies, with its quantiles.
+
+    Parameters
+    ----------
+    count
+        Number of measurements.
+    p50_s
+        Median in seconds; ``None`` without measurements.
+    p95_s
+        95th percentile, likewise.
+    p99_s
+        99th percentile, likewise.
+    count_by_limit_s
+        Counts per bucket, not cumulative, by the bucket's upper bound
+        in seconds.
+    """
 
     count: int
     p50_s: float | None
@@ -24,7 +39,10 @@
 
 
 class CustomerSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """What one customer got, over all the instances that were read."""
+    """Summary of one customer's requests over all accounts read.
+
+    ``refused``, ``unknown`` and ``partial`` are counts by error kind.
+    """
 
     customer: str
     received_count: int
@@ -51,12 +69,12 @@
     Parameters
     ----------
     read_from
-        The instance itself, or a copy at another.
+        Whether the instance itself or a copy at another was read.
     complete_until_s
-        Nothing counted before is missing, by that instance's clock.
+        Everything counted before is included, by that instance's clock.
     unended_count
-        Requests that had come in and not ended; in progress if the
-        instance lives, cut off if it ended.
+        Requests received but not ended: in progress if the instance is
+        running, interrupted if it ended.
     """
 
     instance: str
@@ -74,7 +92,11 @@
     contract: contract_module.Contract | None,
     now_s: float,
 ) -> CustomerSummary:
-    """Return what a row says, by the objective of the contract."""
+    """Summarize a customer's row.
+
+    Burn rates are measured by the objective of `contract`, or by the
+    default objective without one.
+    """
     counter = account_counters.Counter
     histogram = account_counters.Histogram
     objective = contract.objective if contract else contract_module.Objective()
@@ -84,7 +106,7 @@
         received_count=row.get(counter.RECEIVED, 0),
         served_count=row.get(counter.SERVED, 0),
         caller_gone_count=row.get(counter.CALLER_GONE, 0),
-        unended_count=_unended(row),
+        unended_count=_unended_count(row),
         refused=account_counters.ended_by_kind(row, errors.Outcome.NOT_RUN),
         unknown=account_counters.ended_by_kind(row, errors.Outcome.UNKNOWN),
         partial=account_counters.ended_by_kind(row, errors.Outcome.PARTIAL),
@@ -92,15 +114,15 @@
         stalled_count=row.get(counter.STALLED, 0),
         stall_s=row.get(counter.STALL_MS, 0) / 1000,
         stall_not_measured_count=row.get(counter.STALL_NOT_MEASURED, 0),
-        first_token=_times(row, histogram.FIRST_TOKEN),
-        between_tokens=_times(row, histogram.BETWEEN_TOKENS),
-        load_stall=_times(row, histogram.LOAD_STALL),
+        first_token=_summarize_latency(row, histogram.FIRST_TOKEN),
+        between_tokens=_summarize_latency(row, histogram.BETWEEN_TOKENS),
+        load_stall=_summarize_latency(row, histogram.LOAD_STALL),
         burns=tuple(burns),
         alerts=tuple(burn.firing_alerts(burns)),
     )
 
 
-def _times(
+def _summarize_latency(
     row: account_rows.Row, of: account_counters.Histogram
 ) -> LatencySummary:
     counts = account_counters.histogram(row, of)
@@ -117,7 +139,7 @@
 
 
 def describe_source(snapshot: collected_accounts.AccountSnapshot) -> Source:
-    """Return what the report says of one account that was read."""
+    """Describe one account that was read."""
     account_id = snapshot.account_id
     return Source(
         instance=account_id.instance,
@@ -126,10 +148,12 @@
         started_at_s=account_id.started_at_s,
         read_from=_DIRECT if snapshot.is_direct else _COPY,
         complete_until_s=snapshot.complete_until_s,
-        unended_count=sum(_unended(row) for row in snapshot.rows.values()),
+        unended_count=sum(
+            _unended_count(row) for row in snapshot.rows.values()
+        ),
     )
 
 
-def _unended(row: account_rows.Row) -> int:
+def _unended_count(row: account_rows.Row) -> int:
     received = row.get(account_counters.Counter.RECEIVED, 0)
     return received - account_counters.ended_count(row)
--- a/lacewingpitch/report_page.py
+++ b/lacewingpitch/report_page.py
@@ -1,4 +1,4 @@
-"""The report as a page for the browser: one file, with its plots in it."""
+"""The report as a self-contained HTML page with embedded plots."""
 
 from collections.abc import Iterable
 import html
@@ -10,7 +10,7 @@
 from lacewingpitch import report_text
 
 MAX_CUSTOMERS = 50
-_ANSWER_HEADINGS = (
+_REQUEST_HEADINGS = (
     'Customer',
     'Received',
     'Served',
@@ -41,19 +41,19 @@
 
 
 def render(report: report_module.Report) -> str:
-    """Return the page of a report."""
+    """Return a report as HTML."""
     scope = report.customer or 'all customers'
     parts = [
         f'<h1>Account of service: {html.escape(scope)}</h1>',
         f'<p>As of {report_text.format_utc(report.generated_at_s)}, assembled'
         f' by {html.escape(report.generated_by)} from'
         f' {len(report.sources)} account(s).</p>',
-        _gaps(report),
-        _answers(report),
-        _plots(report),
-        _times(report),
-        _burns(report),
-        _sources(report),
+        _gap_section(report),
+        _request_section(report),
+        _plot_section(report),
+        _latency_section(report),
+        _burn_section(report),
+        _source_section(report),
         _EXPLANATION,
     ]
     return (
@@ -68,30 +68,31 @@
 _EXPLANATION = """
 <h2>How to read this</h2>
 <ul>
-<li><b>Served</b>: the whole answer reached the caller's connection.
+<li><b>Served</b>: the caller's connection accepted the complete answer.
 <b>Refused</b>: the request did not run. <b>Unknown</b>: it may have run.
-<b>Partial</b>: the answer broke off, and the caller was told.
-<b>Caller gone</b>: the caller left before its answer was out.
-<b>Not ended</b>: in progress, or cut off when an instance was lost.</li>
-<li>Each request is in exactly one of these; together they make
+<b>Partial</b>: the answer ended early, and the caller was notified.
+<b>Caller gone</b>: the caller disconnected before its answer was complete.
+<b>Not ended</b>: in progress, or interrupted by the loss of an instance.</li>
+<li>Each request is counted in exactly one of these columns; their sum is
 <b>received</b>.</li>
-<li>In the plot of shares a bar that ends before 100 % has requests that
+<li>In the plot of shares, a bar that ends below 100 % has requests that
 have not ended.</li>
-<li>The <b>error budget</b> is the share of requests that may miss the
-objective of the customer's contract: served whole, the first token in
-time, the tokens after it in time. A <b>burn rate</b> of 1 spends it
-exactly in time, 10 ten times as fast. Refusals that the contract asks
-for, and callers that left, do not count.</li>
-<li>An <b>alert</b> fires when the burn rate is above its threshold over
-the long window named and a short one: <b>page</b> means that somebody
-should look now, <b>ticket</b> within days.</li>
+<li>The <b>error budget</b> is the share of requests that may miss an
+objective of the customer's contract: answers served whole, the first
+token in time, the tokens after it in time. A <b>burn rate</b> of 1 spends
+the budget exactly over the period of the objective, 10 ten times as fast.
+Refusals that the contract requires or that the request itself caused, and
+callers that disconnected, do not count.</li>
+<li>An <b>alert</b> fires when the burn rate reaches its threshold both
+over the long window named and over a shorter one. <b>page</b> requires
+immediate attention, <b>ticket</b> attention within days.</li>
 <li>Times are rounded up to the next quarter of a doubling (at most 19%
 too long).</li>
 </ul>
 """
 
 
-def _gaps(report: report_module.Report) -> str:
+def _gap_section(report: report_module.Report) -> str:
     if not report.gaps:
         return (
             '<div class="whole"><b>No gaps.</b> Every known instance was'
@@ -102,24 +103,24 @@
         for gap in report.gaps
     )
     return (
-        '<div class="gaps"><b>This report may lack answers.</b>'
+        '<div class="gaps"><b>Counts may be missing from this report.</b>'
         f' The true counts are at least those shown.<ul>{items}</ul></div>'
     )
 
 
-def _answers(report: report_module.Report) -> str:
+def _request_section(report: report_module.Report) -> str:
     note = (
         f'<p>{report.hidden_count} more customers are in the JSON form of'
-        ' this report; shown are those with the most requests.</p>'
+        ' this report; this page shows those with the most requests.</p>'
         if report.hidden_count > 0
         else ''
     )
-    rows = (_answer_cells(service) for service in _shown(report))
+    rows = (_request_cells(service) for service in _shown_customers(report))
     title = '<h2>Requests since the instances started</h2>'
-    return title + note + _table(_ANSWER_HEADINGS, rows)
+    return title + note + _table(_REQUEST_HEADINGS, rows)
 
 
-def _answer_cells(
+def _request_cells(
     service: report_content.CustomerSummary,
 ) -> tuple[object, ...]:
     return (
@@ -136,16 +137,16 @@
     )
 
 
-def _plots(report: report_module.Report) -> str:
+def _plot_section(report: report_module.Report) -> str:
     plots = ''.join(
-        f'<div>{p}</div>' for p in report_plots.draw(_shown(report))
+        f'<div>{p}</div>' for p in report_plots.draw(_shown_customers(report))
     )
     if not plots:
         return ''
     return f'<h2>Plots</h2><div class="plots">{plots}</div>'
 
 
-def _times(report: report_module.Report) -> str:
+def _latency_section(report: report_module.Report) -> str:
     rows = (
         (
             report_text.display_name(service.customer),
@@ -155,7 +156,7 @@
             report_text.format_ms(found.p95_s),
             report_text.format_ms(found.p99_s),
         )
-        for service in _shown(report)
+        for service in _shown_customers(report)
         for title, found in (
             ('first token', service.first_token),
             ('between tokens', service.between_tokens),
@@ -168,24 +169,27 @@
             'Customer',
             'Time',
             'Measured',
-            '50 in 100',
-            '95 in 100',
-            '99 in 100',
+            '50th percentile',
+            '95th percentile',
+            '99th percentile',
         ),
         rows,
         is_text_second=True,
     )
 
 
-def _burns(report: report_module.Report) -> str:
+def _burn_section(report: report_module.Report) -> str:
     rows = (
         (
             report_text.display_name(service.customer),
             report_text.SUBJECT_NAMES[subject],
-            *(_rate(service, subject, window) for window in burn.WINDOWS),
-            _alerts(service, subject),
+            *(
+                _format_rate(service, subject, window)
+                for window in burn.WINDOWS
+            ),
+            _format_alerts(service, subject),
         )
-        for service in _shown(report)
+        for service in _shown_customers(report)
         for subject in burn.Subject
     )
     return '<h2>Burn of the error budget</h2>' + _table(
@@ -200,7 +204,7 @@
     )
 
 
-def _rate(
+def _format_rate(
     service: report_content.CustomerSummary,
     subject: burn.Subject,
     window: burn.Window,
@@ -213,7 +217,7 @@
     return '-'
 
 
-def _alerts(
+def _format_alerts(
     service: report_content.CustomerSummary, subject: burn.Subject
 ) -> str:
     return '\n'.join(
@@ -223,7 +227,7 @@
     )
 
 
-def _sources(report: report_module.Report) -> str:
+def _source_section(report: report_module.Report) -> str:
     rows = (
         (
             source.instance,
@@ -232,7 +236,7 @@
             source.read_from,
             report_text.format_utc(source.complete_until_s)
             if source.complete_until_s
-            else 'not known',
+            else 'unknown',
             source.unended_count,
         )
         for source in report.sources
@@ -251,7 +255,7 @@
     )
 
 
-def _shown(
+def _shown_customers(
     report: report_module.Report,
 ) -> list[report_content.CustomerSummary]:
     ranked = sorted(
--- a/lacewingpitch/report_plots.py
+++ b/lacewingpitch/report_plots.py
@@ -1,4 +1,4 @@
-"""The plots of a report, drawn as SVG."""
+"""Plots of a report, as SVG."""
 
 from collections.abc import Callable
 from xml.etree import ElementTree
@@ -13,8 +13,8 @@
 _MAX_BARS = 12
 _MAX_LINES = 5
 _MAX_LABELS = 8
-_WHOLE_FROM_MS = 100
-# Colours that stay apart for readers who see few colours (Okabe-Ito).
+_NO_DECIMALS_FROM_MS = 100
+# Colours that colour-blind readers can distinguish (Okabe-Ito palette).
 _OUTCOME_STYLE = pygal.style.Style(
     background='white',
     plot_background='white',
@@ -26,7 +26,7 @@
     title_font_size=15,
     value_label_font_size=11,
 )
-# Without scripts and outside links the page can be handed on as a file.
+# Without scripts and external links, the page works as a single file.
 _CHART_OPTIONS = {
     'style': _OUTCOME_STYLE,
     'js': (),
@@ -34,8 +34,8 @@
     'legend_at_bottom': True,
     'width': 640,
 }
-_Count = Callable[[report_content.CustomerSummary], int]
-_OUTCOMES: tuple[tuple[str, _Count], ...] = (
+_ReadCount = Callable[[report_content.CustomerSummary], int]
+_OUTCOMES: tuple[tuple[str, _ReadCount], ...] = (
     ('served', lambda s: s.served_count),
     ('refused', lambda s: sum(s.refused.values())),
     ('unknown', lambda s: sum(s.unknown.values())),
@@ -45,18 +45,21 @@
 
 
 def draw(services: list[report_content.CustomerSummary]) -> list[str]:
-    """Return the plots of some customers, the first ones of a long list."""
+    """Return the plots of the first customers, as SVG.
+
+    Plots without data are left out.
+    """
     services = services[:_MAX_BARS]
     if not services:
         return []
     charts = [
         _outcome_chart(services),
         _burn_chart(services),
-        _time_chart(
+        _latency_chart(
             'Time to first token: % of answers within so many ms',
             [(s.customer, s.first_token) for s in services],
         ),
-        _time_chart(
+        _latency_chart(
             'Time between tokens: % of gaps within so many ms',
             [(s.customer, s.between_tokens) for s in services],
         ),
@@ -70,7 +73,8 @@
         height=140 + 40 * len(services),
         **_CHART_OPTIONS,
     )
-    # The chart draws its bars from the bottom up; tables go down.
+    # The chart draws its bars from the bottom up, in the opposite order
+    # of the tables.
     services = services[::-1]
     chart.x_labels = [
         report_text.display_name(service.customer) for service in services
@@ -111,7 +115,7 @@
     ]
 
 
-def _time_chart(
+def _latency_chart(
     title: str, times: list[tuple[str, report_content.LatencySummary]]
 ) -> str:
     times = times[:_MAX_LINES]
@@ -126,29 +130,33 @@
         x_label_rotation=30,
         **_CHART_OPTIONS,
     )
-    chart.x_labels = [_milliseconds(limit) for limit in limits]
+    chart.x_labels = [_format_ms(limit) for limit in limits]
     step = max(1, len(limits) // _MAX_LABELS)
     chart.x_labels_major = chart.x_labels[::step]
     for customer, found in times:
         if found.count:
             name = report_text.display_name(customer)
-            chart.add(name, _shares(found, limits))
+            chart.add(name, _cumulative_shares(found, limits))
     return _svg(chart)
 
 
-def _milliseconds(time_s: float) -> str:
+def _format_ms(time_s: float) -> str:
     time_ms = time_s * 1000
-    return f'{time_ms:.3g}' if time_ms < _WHOLE_FROM_MS else f'{time_ms:.0f}'
+    return (
+        f'{time_ms:.3g}'
+        if time_ms < _NO_DECIMALS_FROM_MS
+        else f'{time_ms:.0f}'
+    )
 
 
-def _shares(
+def _cumulative_shares(
     times: report_content.LatencySummary, limits: list[float]
 ) -> list[float]:
-    seen = 0
+    cumulative_count = 0
     shares = []
     for limit in limits:
-        seen += times.count_by_limit_s.get(f'{limit:.6g}', 0)
-        shares.append(round(100 * seen / times.count, 2))
+        cumulative_count += times.count_by_limit_s.get(f'{limit:.6g}', 0)
+        shares.append(round(100 * cumulative_count / times.count, 2))
     return shares
 
 
--- a/lacewingpitch/report_server.py
+++ b/lacewingpitch/report_server.py
@@ -1,4 +1,4 @@
-"""The report over HTTP: for operators, and for one customer alone."""
+"""HTTP endpoints of the report, for operators and for single customers."""
 
 import asyncio
 import base64
@@ -33,16 +33,19 @@
 
 
 class ReportServer:
-    """Answers ``/report`` and ``/report/customers/NAME``.
+    """Serves ``/report`` and ``/report/customers/NAME``.
+
+    The operator token gives access to all reports, an API key only to
+    its customer's.
 
     Parameters
     ----------
     reporter
         Assembles the reports.
     registry
-        Tells whose an API key is.
+        Maps API keys to customers.
     operator_token_digest
-        SHA-256 of the operators' token; without it there is no page for
+        SHA-256 of the operator token; ``None`` disables the access for
         operators.
     clock
         Source of time.
@@ -65,7 +68,7 @@
         ] = collections.OrderedDict()
 
     def add_routes(self, server: http_server.HttpServer) -> None:
-        """Answer the report's paths at `server`."""
+        """Register the paths of the report at `server`."""
         server.route('GET', '/report', self._all_customers)
         server.route('GET', '/report/customers/{name}', self._one_customer)
 
@@ -98,8 +101,8 @@
                 content_type='application/json',
                 headers={'Cache-Control': 'no-store'},
             )
-        # Drawing takes tens of milliseconds, which the streams that pass
-        # through this process would see as a gap between tokens.
+        # Rendering takes tens of milliseconds.  On the event loop, it
+        # would delay the tokens of streams that pass through this process.
         page = await asyncio.to_thread(report_page.render, report)
         return web.Response(
             text=page, content_type='text/html', headers=_PAGE_HEADERS
@@ -108,9 +111,9 @@
     async def _get_report(
         self, customer: str | None, limit: int | None
     ) -> report_module.Report:
-        # A report asks every entry.  A caller that reloads it over and
-        # over would multiply that load by the fleet, so reports are
-        # reused for a while and few are assembled at a time.
+        # Each report reads the accounts of every entry.  To keep a client
+        # that reloads the page from loading the whole fleet, reports are
+        # cached briefly and few are assembled at a time.
         async with self._assembly_semaphore:
             key = (customer, limit)
             cached = self._cache.get(key)
@@ -144,7 +147,8 @@
         return header.removeprefix(_BEARER)
     if not header.startswith(_BASIC):
         return ''
-    # Browsers ask for a name and a password; the password is the token.
+    # Browsers prompt for a user name and a password: the password is the
+    # token.
     try:
         data = base64.b64decode(header.removeprefix(_BASIC), validate=True)
         return data.decode().partition(':')[2]
@@ -153,6 +157,6 @@
 
 
 def _unauthorized_response() -> web.Response:
-    # One answer for a wrong token and for another's name, so that it
-    # does not tell which customers there are.
+    # The same response for an invalid token and for another customer's
+    # report, so that it does not reveal which customers exist.
     return web.Response(status=401, text='not allowed\n', headers=_CHALLENGE)
--- a/lacewingpitch/report_text.py
+++ b/lacewingpitch/report_text.py
@@ -1,4 +1,4 @@
-"""The report as text: tables for a terminal, and words for the page."""
+"""Text of a report: tables for the terminal, and formats of its values."""
 
 from collections.abc import Iterable, Mapping
 import time
@@ -39,7 +39,10 @@
 def print_table(
     report: report_module.Report, console: rich.console.Console
 ) -> None:
-    """Print a report as tables, its gaps first."""
+    """Print a report as a table, after its gaps.
+
+    Up to three customers are columns, more are rows.
+    """
     console.print(
         f'Account of service at {format_utc(report.generated_at_s)},'
         f' assembled by {report.generated_by}'
@@ -53,16 +56,18 @@
         return
     table = rich.table.Table(*_COLUMNS)
     for service in report.services:
-        table.add_row(*_cells(service))
+        table.add_row(*_request_cells(service))
     console.print(table)
 
 
 def _transposed_table(
     services: Iterable[report_content.CustomerSummary],
 ) -> rich.table.Table:
-    # Thirteen columns do not fit a terminal; a few customers do.
+    # Thirteen columns do not fit the width of a terminal, but a few
+    # customers as columns do.
     columns = [
-        (*_cells(service), *_burn_cells(service)) for service in services
+        (*_request_cells(service), *_burn_cells(service))
+        for service in services
     ]
     names = (*_COLUMNS, *(f'burn: {name}' for name in SUBJECT_NAMES.values()))
     header, *rows = zip(names, *columns, strict=True)
@@ -87,7 +92,7 @@
 
 
 def describe_gap(gap: report_gaps.Gap) -> str:
-    """Return a gap as a sentence."""
+    """Return a gap as text."""
     start = 'an unknown time' if gap.from_s is None else format_utc(gap.from_s)
     end = 'an unknown time' if gap.to_s is None else format_utc(gap.to_s)
     return (
@@ -97,21 +102,21 @@
 
 
 def format_utc(time_s: float) -> str:
-    """Return a time as text, for readers in any time zone."""
+    """Format a time as date and time in UTC."""
     return time.strftime('%Y-%m-%d %H:%M:%S UTC', time.gmtime(time_s))
 
 
 def format_ms(time_s: float | None) -> str:
-    """Return a time in milliseconds, or a dash for none."""
+    """Format a duration in milliseconds, ``None`` as a dash."""
     return '-' if time_s is None else f'{time_s * 1000:.0f} ms'
 
 
 def display_name(customer: str) -> str:
-    """Return a customer's name, or what stands for no customer."""
+    """Return a customer's name, or a text for unidentified requests."""
     return customer or '(no customer identified)'
 
 
-def _cells(service: report_content.CustomerSummary) -> tuple[str, ...]:
+def _request_cells(service: report_content.CustomerSummary) -> tuple[str, ...]:
     return (
         display_name(service.customer),
         str(service.received_count),
@@ -130,13 +135,13 @@
 
 
 def format_kinds(counts: Mapping[str, int]) -> str:
-    """Return counts by kind as text."""
+    """Format counts by error kind, a line each."""
     found = (f'{kind} {count}' for kind, count in sorted(counts.items()))
     return '\n'.join(found) or '0'
 
 
 def format_stalls(service: report_content.CustomerSummary) -> str:
-    """Return the load stalls as text, with how many were not measured."""
+    """Format the load stalls: number, duration, number not measured."""
     text = f'{service.stalled_count} ({service.stall_s:.1f} s)'
     if service.stall_not_measured_count:
         text += f'\n{service.stall_not_measured_count} not measured'
@@ -144,7 +149,7 @@
 
 
 def format_alerts(service: report_content.CustomerSummary) -> str:
-    """Return the alerts that fire as text."""
+    """Format the firing alerts, a line each."""
     found = (
         f'{alert.severity}: {alert.subject} over {alert.long_window}'
         for alert in service.alerts
