--- a/lacewingpitch/burn.py
+++ b/lacewingpitch/burn.py
@@ -201,15 +201,15 @@
     return [
         FiringAlert(
             subject,
-            alert.severity,
-            alert.long.name,
-            alert.short.name,
-            alert.threshold,
+            rule.severity,
+            rule.long.name,
+            rule.short.name,
+            rule.threshold,
         )
         for subject in Subject
-        for alert in ALERT_RULES
-        if rates[subject, alert.long.name] >= alert.threshold
-        and rates[subject, alert.short.name] >= alert.threshold
+        for rule in ALERT_RULES
+        if rates[subject, rule.long.name] >= rule.threshold
+        and rates[subject, rule.short.name] >= rule.threshold
     ]
 
 
--- a/tests/account_fleet.py
+++ b/tests/account_fleet.py
@@ -1,4 +1,7 @@
-"""Entries in one process, joined by calls, to be lost and replaced."""
+"""Simulated entries in one process, which tests can kill and replace.
+
+Control messages are direct calls between the entries.
+"""
 
 import itertools
 import types
@@ -18,7 +21,7 @@
 
 
 class Entry:
-    """One incarnation of an entry: its account, copies and reporter."""
+    """One incarnation of an entry, with account, copies and reporter."""
 
     def __init__(self, fleet, name, zone):
         self.fleet = fleet
@@ -59,15 +62,15 @@
         )
 
     async def _ask(self, port, message):
-        found = self.fleet.by_port.get(port)
-        if found is None or {self.name, found.name} & self.fleet.cut_off:
+        entry = self.fleet.by_port.get(port)
+        if entry is None or {self.name, entry.name} & self.fleet.cut_off:
             raise errors.LinkError('no reply')
         if isinstance(message, account_copy.AccountCopy):
-            return await found.holder.merge(message)
-        return await found.reader.answer(message)
+            return await entry.holder.merge(message)
+        return await entry.reader.answer(message)
 
     def serve(self, customer, count=1):
-        """Count answers that were served."""
+        """Count `count` served requests of a customer."""
         for _ in range(count):
             with self.account.track_request('id') as tally:
                 self.account.identify(tally, self.fleet.contract(customer))
@@ -75,7 +78,11 @@
 
 
 class Fleet:
-    """The entries that live, and the list that names them."""
+    """Running entries, and the list of instances.
+
+    ``cut_off`` has the names of entries that no message reaches or
+    leaves.
+    """
 
     def __init__(self, size=3):
         self.clock = clocks.ManualClock(clocks.WALL_START_S)
@@ -93,33 +100,33 @@
         return tuple(self.listed.values())
 
     def contract(self, customer):
-        found = contract.Contract(
+        customer_contract = contract.Contract(
             customer=customer, revision=1, key_digests=()
         )
-        self.registry.accept(found)
-        return found
+        self.registry.accept(customer_contract)
+        return customer_contract
 
     def add(self, name):
-        """Start an entry, or its next incarnation."""
+        """Start an entry, or the next incarnation of one."""
         zone = ZONES[int(name.split('-')[1]) % len(ZONES)]
-        found = Entry(self, name, zone)
-        self.by_port[found.port] = found
-        self.entries[name] = found
-        self.listed[name] = found.instance
-        return found
+        entry = Entry(self, name, zone)
+        self.by_port[entry.port] = entry
+        self.entries[name] = entry
+        self.listed[name] = entry.instance
+        return entry
 
     def kill(self, name):
-        """Lose an entry with all its memory; the list lags."""
-        found = self.entries.pop(name)
-        del self.by_port[found.port]
-        return found
+        """Kill an entry, losing its memory; it stays in the list."""
+        entry = self.entries.pop(name)
+        del self.by_port[entry.port]
+        return entry
 
     def unlist(self, name):
         del self.listed[name]
 
-    async def rounds(self, count=1):
-        """Let every entry copy its account, in turn."""
+    async def copy_rounds(self, count=1):
+        """Run copy rounds at every entry, one entry after another."""
         for _ in range(count):
             self.clock.now_s += account_copy.COPY_INTERVAL_S
-            for found in tuple(self.entries.values()):
-                await found.copier.copy_once()
+            for entry in tuple(self.entries.values()):
+                await entry.copier.copy_once()
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Counting of requests at one entry."""
+"""Request counters, latency histograms and row storage of one entry."""
 
 import asyncio
 import math
@@ -31,21 +31,21 @@
 
 
 def refuse(kind):
-    def ends(tally):
+    def ending(tally):
         tally.record_error(errors.RefusalError(kind, ''))
         tally.record_delivery()
 
-    return ends
+    return ending
 
 
 def raise_error(error):
-    def ends(_tally):
+    def ending(_tally):
         raise error
 
-    return ends
+    return ending
 
 
-ENDS = [
+ENDINGS = [
     lambda tally: tally.record_delivery(),
     lambda tally: (tally.record_truncation(), tally.record_delivery()),
     lambda tally: tally.record_events(3),
@@ -56,35 +56,35 @@
 ]
 
 
-def play(account, ends, is_known):
+def count_request(account, ending, is_identified):
     with account.track_request('id') as tally:
-        if is_known:
+        if is_identified:
             account.identify(tally, HANEUL)
-        ends(tally)
+        ending(tally)
 
 
-class TestBuckets:
+class TestOutcomes:
     @given(
         strategies.lists(
             strategies.tuples(
-                strategies.sampled_from(ENDS), strategies.booleans()
+                strategies.sampled_from(ENDINGS), strategies.booleans()
             ),
             max_size=30,
         )
     )
-    def test_each_request_is_in_exactly_one(self, calls):
+    def test_each_request_has_exactly_one_outcome(self, requests):
         account = new_account()
-        for ends, is_known in calls:
+        for ending, is_identified in requests:
             try:
-                play(account, ends, is_known)
+                count_request(account, ending, is_identified)
             except (Exception, asyncio.CancelledError):
                 continue
         rows = [account.rows.row(customer) for customer in account.rows]
         counter = account_counters.Counter.RECEIVED
-        assert account.received_count == len(calls)
-        assert sum(row[counter] for row in rows) == len(calls)
-        assert sum(map(account_counters.ended_count, rows)) == len(calls)
-        assert sum(account.ended_by_outcome.values()) == len(calls)
+        assert account.received_count == len(requests)
+        assert sum(row[counter] for row in rows) == len(requests)
+        assert sum(map(account_counters.ended_count, rows)) == len(requests)
+        assert sum(account.ended_by_outcome.values()) == len(requests)
 
     def test_request_in_progress_is_received_and_not_ended(self):
         account = new_account()
@@ -96,15 +96,16 @@
 
     @pytest.mark.proves(Promise.ACCOUNT, Fault.LINK_CUT, Step.BEFORE_DELIVERY)
     def test_caller_gone_before_the_last_byte_is_not_served(self):
-        """A subscriber's command never came, yet the account says served.
+        """The account shows an answer as served that never arrived.
 
-        The answer is whole at the entry; the caller's connection breaks
-        before its last byte is out.  The cause would be counting when
-        the answer is made, not when the connection took it.
+        The entry has the complete answer, and the caller's connection
+        breaks before the last byte is sent.  This happens if requests
+        are counted when the answer is produced, not when the connection
+        accepts it.
         """
         account = new_account()
         with pytest.raises(ConnectionResetError):
-            play(account, raise_error(ConnectionResetError()), True)
+            count_request(account, raise_error(ConnectionResetError()), True)
         row = account.rows.row('haneul')
         assert account_counters.Counter.SERVED not in row
         assert row[account_counters.Counter.CALLER_GONE] == 1
@@ -179,8 +180,8 @@
         for time_s in times_s:
             bucket = account_counters.bucket_of(time_s)
             counts[bucket] = counts.get(bucket, 0) + 1
-        place = math.ceil(ratio * len(times_s)) - 1
-        true_s = max(sorted(times_s)[place], 0.001)
+        index = math.ceil(ratio * len(times_s)) - 1
+        true_s = max(sorted(times_s)[index], 0.001)
         found_s = account_counters.quantile_s(counts, ratio)
         assert true_s * 0.999 <= found_s <= true_s * 2**0.25 * 1.001
 
--- a/tests/test_account_copy.py
+++ b/tests/test_account_copy.py
@@ -1,4 +1,4 @@
-"""Copies of the account at peers: any order, loss and repetition."""
+"""Replication of accounts under reordering, loss and repetition."""
 
 import hypothesis
 from hypothesis import stateful
@@ -23,14 +23,14 @@
 
 
 class Link:
-    """An owner and a holder, with messages in between."""
+    """An account's owner and a holder, connected by messages."""
 
     def __init__(self, capacity_accounts=8):
         self.account = account_module.Account(OWNER, clocks.ManualClock())
         self.backlog = account_copy.Backlog(self.account.rows)
         self.holder = account_copy.CopyHolder(capacity_accounts)
         self.now_s = 1.0
-        self.past = {}
+        self.past_rows = {}
 
     def count(self, customer, number):
         self.account.add(customer, {number: 1})
@@ -41,7 +41,7 @@
 
     def next_copy(self, max_bytes=account_copy.MAX_BATCH_BYTES):
         self.now_s += 1
-        self.past[self.now_s] = self.snapshot()
+        self.past_rows[self.now_s] = self.snapshot()
         self.backlog.record_changes(self.account.pop_changes(), self.now_s)
         head = account_copy.AccountHead(
             account_id=OWNER, complete_until_s=self.now_s
@@ -59,27 +59,27 @@
         held = self.held()
         return {c: dict(held.rows.row(c)) for c in held.rows}
 
-    def check_claim(self):
-        """What the holder claims to be complete, it has."""
+    def check_completeness(self):
+        """Check that the holder has all counts up to its stated time."""
         held = self.held()
         if held is None or not held.complete_until_s:
             return
-        past = self.past[held.complete_until_s]
-        for customer, row in past.items():
-            kept = held.rows.row(customer)
+        past_rows = self.past_rows[held.complete_until_s]
+        for customer, row in past_rows.items():
+            held_row = held.rows.row(customer)
             for number, count in row.items():
-                assert kept.get(number, 0) >= count
+                assert held_row.get(number, 0) >= count
 
 
 def run(coroutine):
-    """Run a coroutine that waits for nothing."""
+    """Run a coroutine that never suspends."""
     with pytest.raises(StopIteration) as found:
         coroutine.send(None)
     return found.value.value
 
 
 class CopyMachine(stateful.RuleBasedStateMachine):
-    """Any order, loss and repetition of copies merges to the same."""
+    """Copies converge under any order, loss and repetition of messages."""
 
     def __init__(self):
         super().__init__()
@@ -112,7 +112,7 @@
 
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(data=strategies.data())
-    def late_again(self, data):
+    def redelivered(self, data):
         message = data.draw(strategies.sampled_from(self.sent))
         run(self.link.holder.merge(message))
 
@@ -126,8 +126,8 @@
         self.link.holder.sweep(count, 0.0)
 
     @stateful.invariant()
-    def claims_only_what_it_has(self):
-        self.link.check_claim()
+    def is_complete_until_its_stated_time(self):
+        self.link.check_completeness()
 
     @stateful.invariant()
     def never_more_than_the_owner(self):
@@ -157,12 +157,11 @@
 class TestHolder:
     @pytest.mark.proves(Promise.ACCOUNT, Fault.TWO_FAULTS, Step.ANY)
     async def test_restarted_holder_claims_nothing_until_refilled(self):
-        """A report lacks a lost instance's answers and states no gap.
+        """A report lacks a lost instance's counts and states no gap.
 
-        The holder of its copies restarts empty, gets one more delta, and
-        then the instance is lost.  The cause would be a holder that
-        takes over the sender's claim of completeness for a copy that it
-        no longer has.
+        The holder restarts empty and receives one more delta, and then
+        the instance is lost.  This happens if a holder adopts the
+        sender's completeness time for a copy that it no longer has.
         """
         link = Link()
         link.count('haneul', 1)
@@ -178,7 +177,7 @@
         assert link.held_rows() == link.snapshot()
         assert link.held().complete_until_s
 
-    async def test_copy_dropped_for_room_claims_nothing(self):
+    async def test_evicted_copy_states_no_completeness(self):
         link = Link(capacity_accounts=1)
         link.count('haneul', 1)
         await link.exchange()
@@ -255,7 +254,7 @@
         zones = {holder.availability_zone for holder in chosen}
         assert zones == {'zone-b', 'zone-c'}
 
-    def test_takes_what_there_is(self):
+    def test_returns_fewer_if_entries_are_few(self):
         others = [entry('entry-1', 'zone-a')]
         assert (
             account_holders.choose_holders(OWNER, 'region-a', others) == others
--- a/tests/test_account_processes.py
+++ b/tests/test_account_processes.py
@@ -1,4 +1,4 @@
-"""The account against what callers received, over real processes."""
+"""Accounts compared with what callers received, with real processes."""
 
 import asyncio
 import collections
@@ -22,13 +22,13 @@
 Step = fault_matrix.Step
 TOKEN = 'token-of-operators'
 COPY_AGE = 'lacewingpitch_account_copy_age_seconds{'
-CALLS = (('haneul', 'ficus'), ('caravan', 'trade-in'))
+CUSTOMER_ADAPTERS = (('haneul', 'ficus'), ('caravan', 'trade-in'))
 
-OPERATED = {'operator_token_digest': contract.digest_key(TOKEN)}
+OPERATOR_FIELDS = {'operator_token_digest': contract.digest_key(TOKEN)}
 
 
 def add_customers(deployment):
-    for customer, adapter in CALLS:
+    for customer, adapter in CUSTOMER_ADAPTERS:
         deployment.add_customer(
             customer, adapter, limits=processes.WIDE_LIMITS
         )
@@ -40,14 +40,14 @@
         for _ in range(2):
             await found.add_engine()
         for zone in ('zone-a', 'zone-b', 'zone-c'):
-            await found.add_entry(availability_zone=zone, **OPERATED)
+            await found.add_entry(availability_zone=zone, **OPERATOR_FIELDS)
         add_customers(found)
         await found.publish()
         yield found
 
 
 class Callers:
-    """Callers that note what they received whole, and when."""
+    """Sends requests, and records the complete answers with their times."""
 
     def __init__(self, deployment):
         self.deployment = deployment
@@ -68,7 +68,7 @@
 
     async def keep_calling(self, entry, count):
         for number in range(count):
-            for customer, adapter in CALLS:
+            for customer, adapter in CUSTOMER_ADAPTERS:
                 is_stream = number % 2 == 1
                 if not await self.call(entry, customer, adapter, is_stream):
                     return
@@ -90,16 +90,16 @@
     return {s.customer: s.served_count for s in report.services}
 
 
-async def without_gaps(deployment, entry):
-    async def is_whole():
+async def read_report_without_gaps(deployment, entry):
+    async def has_no_gaps():
         return not (await read_report(deployment, entry)).gaps
 
-    await processes.until(is_whole)
+    await processes.until(has_no_gaps)
     return await read_report(deployment, entry)
 
 
 def check_against_gaps(report, callers):
-    """Hold that a report lacks at most what it says it may lack."""
+    """Check that a report lacks counts only within its stated gaps."""
     gaps = {gap.instance: gap for gap in report.gaps}
     names = {
         entry: f'entry-{number}'
@@ -112,22 +112,24 @@
 
     certain = callers.counts(is_certain)
     received = callers.counts()
-    found = served(report)
+    reported = served(report)
     for customer, count in received.items():
-        assert certain[customer] <= found[customer] <= count
+        assert certain[customer] <= reported[customer] <= count
     return certain
 
 
 async def some_are_copied(callers, entry):
-    """Return whether copies cover some answers of an entry."""
-    ends = [at_s for at_s, found, _ in callers.received if found is entry]
+    """Return whether some of an entry's answers are in copies."""
+    received_at_s = [
+        at_s for at_s, source, _ in callers.received if source is entry
+    ]
     async with callers.deployment.session.get(
         entry.url + '/metrics'
     ) as response:
         text = await response.text()
     (line,) = (x for x in text.splitlines() if x.startswith(COPY_AGE))
     copied_until_s = time.time() - float(line.split()[-1])
-    return bool(ends) and copied_until_s > min(ends) + 1
+    return bool(received_at_s) and copied_until_s > min(received_at_s) + 1
 
 
 class TestKilled:
@@ -152,12 +154,12 @@
     async def test_gap_covers_what_the_report_lacks(
         self, deployment, lost_count
     ):
-        """A customer's report shows fewer answers than the customer got.
+        """A report shows fewer answers than the customer got, and no gap.
 
-        Callers use three entries; one is killed under load, between an
-        answer and its next copy, or two are, one after the other; the
-        list goes on naming them.  The cause would be counts that only
-        the lost instance had, and a report silent about them.
+        Callers use three entries.  One is killed under load, between an
+        answer and the next copy, or two are, one after the other; they
+        stay in the list.  This happens if the report does not state that
+        counts, which only the lost instance had, may be missing.
         """
         callers = Callers(deployment)
         first, *lost = deployment.entries
@@ -199,13 +201,14 @@
     @pytest.mark.proves(Promise.ACCOUNT, Fault.TWO_FAULTS, Step.MID_STREAM)
     @pytest.mark.parametrize('how', ['cut', 'half-open'])
     async def test_each_side_names_what_it_cannot_see(self, tmp_path, how):
-        """A report of one side passes for the whole account.
-
-        The fleet splits under load and both sides serve; reports of
-        both are read, then the links heal, less one entry that was
-        killed meanwhile.  The causes would be a side that counts its
-        copies of the other's accounts as current, or both of a copy
-        and its original once they meet again.
+        """A report of one side of a partition appears complete.
+
+        The fleet is partitioned under load, both sides serve, and
+        reports of both are read; then the links heal, and one entry has
+        been killed meanwhile.  This happens if a side treats its copies
+        of the other side's accounts as current.  After the partition,
+        answers would count twice if both a copy and its original were
+        added up.
         """
         async with contextlib.AsyncExitStack() as exits:
             deployment = await exits.enter_async_context(
@@ -219,7 +222,7 @@
                     left_count=1,
                     entries=((0, 'a'), (0, 'a'), (1, 'b'), (1, 'b')),
                     joins_entries=True,
-                    entry_fields=OPERATED,
+                    entry_fields=OPERATOR_FIELDS,
                 )
             )
             callers = Callers(deployment)
@@ -234,23 +237,23 @@
             await sides.publish(live_list.InstanceState.LEAVING)
             for entry in entries:
                 await callers.keep_calling(entry, 5)
-            for entry, unseen in (
+            for entry, unreached in (
                 (entries[0], ['entry-2', 'entry-3']),
                 (entries[2], ['entry-0', 'entry-1']),
             ):
                 report = await read_report(deployment, entry)
-                assert sorted(g.instance for g in report.gaps) == unseen
+                assert sorted(g.instance for g in report.gaps) == unreached
                 check_against_gaps(report, callers)
             await entries[3].kill()
             await sides.heal()
             await sides.publish(live_list.InstanceState.LIVE)
 
-            async def sees_the_others(entry):
+            async def reaches_the_others(entry):
                 report = await read_report(deployment, entry)
                 return [g.instance for g in report.gaps] == ['entry-3']
 
             for entry in entries[:3]:
-                await processes.until(lambda e=entry: sees_the_others(e))
+                await processes.until(lambda e=entry: reaches_the_others(e))
                 report = await read_report(deployment, entry)
                 certain = check_against_gaps(report, callers)
                 alive = callers.counts(lambda _, e: e is not entries[3])
@@ -260,11 +263,12 @@
 class TestFrozen:
     @pytest.mark.proves(Promise.ACCOUNT, Fault.FROZEN, Step.ANY)
     async def test_gap_closes_when_the_instance_wakes(self, deployment):
-        """A report misses what a frozen entry has served, for good.
+        """A report lacks, or counts twice, what a frozen entry served.
 
-        An entry freezes after serving and wakes up later.  Meanwhile the
-        report must name it; then its counts are there, once.  The cause
-        would be a copy and the instance itself both being added up.
+        An entry freezes after serving and resumes later.  Until then the
+        report must state the gap; afterwards it must include the counts
+        once.  They count twice if both a copy and the instance itself
+        are added up.
         """
         callers = Callers(deployment)
         for entry in deployment.entries:
@@ -275,7 +279,9 @@
         assert [gap.instance for gap in report.gaps] == ['entry-1']
         check_against_gaps(report, callers)
         frozen.wake()
-        report = await without_gaps(deployment, deployment.entries[0])
+        report = await read_report_without_gaps(
+            deployment, deployment.entries[0]
+        )
         assert served(report) == callers.counts()
 
 
@@ -289,18 +295,20 @@
         assert await deployment.entries[2].exited() == 0
         del deployment.instances[-1]
         await deployment.publish_instances()
-        report = await without_gaps(deployment, deployment.entries[0])
+        report = await read_report_without_gaps(
+            deployment, deployment.entries[0]
+        )
         assert served(report) == callers.counts()
 
 
-class TestFates:
+class TestIncompleteAnswers:
     @pytest.mark.proves(Promise.ACCOUNT, Fault.STREAM_CUT, Step.MID_STREAM)
     async def test_cut_and_abandoned_answers_are_not_served(self, deployment):
-        """Answers that nobody got whole are in the account as served.
+        """The account shows incomplete answers as served.
 
-        One caller leaves in the middle of its stream; an engine dies in
-        the middle of another's.  The cause would be counting an answer
-        by the status at its head.
+        One caller disconnects in the middle of its stream, and an engine
+        dies in the middle of another.  This happens if answers are
+        counted by their HTTP status alone.
         """
         entry = deployment.entries[0]
 
@@ -319,9 +327,9 @@
 
         async def are_counted():
             report = await read_report(deployment, entry)
-            (found,) = (s for s in report.services if s.customer == 'haneul')
-            assert found.served_count == 0
-            return found.caller_gone_count == 1 and found.partial == {
+            (service,) = (s for s in report.services if s.customer == 'haneul')
+            assert service.served_count == 0
+            return service.caller_gone_count == 1 and service.partial == {
                 'answer-cut': 1
             }
 
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn rates against a plain recomputation from the events."""
+"""Burn rates, compared with a direct computation from the events."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -11,7 +11,7 @@
 
 NOW_S = 1_800_000_123.0
 OBJECTIVE = contract.Objective(served_ratio=0.99)
-events = strategies.lists(
+request_lists = strategies.lists(
     strategies.tuples(
         strategies.floats(0, 4 * 86400),
         strategies.booleans(),
@@ -20,32 +20,32 @@
 )
 
 
-def row_of(found):
+def make_row(requests):
     row = {}
-    for age_s, failed in found:
+    for age_s, failed in requests:
         signals = {burn.Signal.ANSWERS: 1, burn.Signal.FAILED: int(failed)}
         account_rows.add(row, burn.slot_increments(NOW_S - age_s, signals))
     return row
 
 
-def recompute(found, window):
-    """Count plainly: whole slots, from the one that the window reaches."""
+def count_directly(requests, window):
+    """Count directly, in whole slots from the oldest in the window."""
     slot_s = burn.RESOLUTIONS[window.resolution].slot_s
     start_s = (NOW_S - window.length_s) // slot_s * slot_s
-    inside = [failed for age_s, failed in found if NOW_S - age_s >= start_s]
+    inside = [failed for age_s, failed in requests if NOW_S - age_s >= start_s]
     return len(inside), sum(inside)
 
 
 class TestMeasure:
-    @given(events)
-    def test_equals_plain_recomputation(self, found):
+    @given(request_lists)
+    def test_equals_direct_computation(self, requests):
         burns = {
             b.window: b
-            for b in burn.measure_burns(row_of(found), OBJECTIVE, NOW_S)
+            for b in burn.measure_burns(make_row(requests), OBJECTIVE, NOW_S)
             if b.subject is burn.Subject.SERVED
         }
         for window in burn.WINDOWS:
-            total, failed = recompute(found, window)
+            total, failed = count_directly(requests, window)
             measured = burns[window.name]
             assert measured.total_count == total
             assert measured.failed_count == failed
@@ -56,9 +56,9 @@
             else:
                 assert measured.burn_rate is None
 
-    @given(events)
-    def test_dropping_expired_slots_changes_no_window(self, found):
-        row = row_of(found)
+    @given(request_lists)
+    def test_dropping_expired_slots_changes_no_window(self, requests):
+        row = make_row(requests)
         before = burn.measure_burns(row, OBJECTIVE, NOW_S)
         for number in burn.expired_counters(row, NOW_S):
             del row[number]
@@ -87,7 +87,7 @@
         assert not [
             alert
             for alert in burn.firing_alerts(
-                burn.measure_burns(row_of(old), OBJECTIVE, NOW_S)
+                burn.measure_burns(make_row(old), OBJECTIVE, NOW_S)
             )
             if alert.long_window == '1 h'
         ]
@@ -95,7 +95,7 @@
         assert [
             alert
             for alert in burn.firing_alerts(
-                burn.measure_burns(row_of(burning), OBJECTIVE, NOW_S)
+                burn.measure_burns(make_row(burning), OBJECTIVE, NOW_S)
             )
             if alert.long_window == '1 h' and alert.severity == 'page'
         ]
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What a report shows, what it says it lacks, and who may read it."""
+"""Contents of reports, their stated gaps, and access to them."""
 
 import base64
 
@@ -31,10 +31,10 @@
 class TestAssemble:
     async def test_adds_up_all_entries(self):
         fleet = account_fleet.Fleet()
-        for found in fleet.entries.values():
-            found.serve('haneul', 2)
+        for entry in fleet.entries.values():
+            entry.serve('haneul', 2)
         fleet.entries['entry-1'].serve('caravan')
-        await fleet.rounds(3)
+        await fleet.copy_rounds(3)
         report = await fleet.entries['entry-0'].reporter.assemble()
         assert served(report) == {'caravan': 1, 'haneul': 6}
         assert not report.gaps
@@ -49,34 +49,34 @@
 
     @pytest.mark.proves(Promise.ACCOUNT, Fault.KILLED, Step.ANY)
     async def test_account_outlives_every_holder_in_turn(self):
-        """An account is lost days after its instance, and nobody says so.
+        """An account is lost after its instance, without a stated gap.
 
-        An entry is lost; then, one after another, each entry that lived
-        then is replaced, as 89 are on an ordinary day.  The cause would
-        be copies that nobody renews once their owner is gone.
+        An entry is lost, and then every other entry is replaced, one
+        after another; on an ordinary day 89 are.  This happens if copies
+        are not renewed once their owner is gone.
         """
         fleet = account_fleet.Fleet(4)
         fleet.entries['entry-0'].serve('haneul', 5)
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         fleet.kill('entry-0')
         fleet.unlist('entry-0')
         for number in (1, 2, 3):
             fleet.kill(f'entry-{number}')
             fleet.add(f'entry-{number}')
-            await fleet.rounds(12)
+            await fleet.copy_rounds(12)
         report = await fleet.entries['entry-1'].reporter.assemble()
         assert served(report) == {'haneul': 5}
 
-    async def test_a_holder_that_restarts_in_place_is_filled_again(self):
+    async def test_restarted_holder_gets_a_full_sync(self):
         fleet = account_fleet.Fleet(3)
         fleet.entries['entry-0'].serve('haneul', 5)
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         fleet.kill('entry-0')
         fleet.unlist('entry-0')
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         fleet.kill('entry-1')
         fleet.add('entry-1')
-        await fleet.rounds(8)
+        await fleet.copy_rounds(8)
         held = [
             h
             for h in fleet.entries['entry-1'].holder.accounts
@@ -89,17 +89,17 @@
         fleet = account_fleet.Fleet(3)
         owner = fleet.entries['entry-0']
         owner.serve('haneul')
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         fleet.kill('entry-0')
         fleet.unlist('entry-0')
-        await fleet.rounds(4)
+        await fleet.copy_rounds(4)
         owner.serve('haneul')
         late = account_copy.make_copy(
             owner.copier.own_head(),
             {'haneul': dict(owner.account.rows.row('haneul'))},
         )
         await fleet.entries['entry-1'].holder.merge(late)
-        await fleet.rounds(4)
+        await fleet.copy_rounds(4)
         held = fleet.entries['entry-2'].holder.account(
             owner.account.account_id
         )
@@ -112,7 +112,7 @@
     async def test_unreached_instance_is_read_from_a_copy(self):
         fleet = account_fleet.Fleet()
         fleet.entries['entry-2'].serve('haneul', 3)
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         copied_at_s = fleet.clock.now_s
         fleet.cut_off.add('entry-2')
         fleet.entries['entry-2'].serve('haneul')
@@ -126,17 +126,17 @@
 
     @pytest.mark.proves(Promise.ACCOUNT, Fault.PARTITION, Step.ANY)
     async def test_partition_names_the_whole_other_side(self):
-        """Each side's report shows half of the answers as if it were all.
+        """Each side's report shows half of the answers as complete.
 
-        Two of four entries are cut off from the others; both halves keep
-        serving.  The cause would be a report that is silent on who did
-        not answer.
+        Two of four entries are partitioned from the others, and both
+        sides keep serving.  This happens if a report does not state
+        which instances it could not read.
         """
         fleet = account_fleet.Fleet(4)
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         fleet.cut_off |= {'entry-2', 'entry-3'}
-        for found in fleet.entries.values():
-            found.serve('haneul')
+        for entry in fleet.entries.values():
+            entry.serve('haneul')
         report = await fleet.entries['entry-0'].reporter.assemble()
         assert served(report)['haneul'] == 2
         assert {g.instance for g in report.gaps} == {'entry-2', 'entry-3'}
@@ -155,11 +155,11 @@
 
     async def test_instance_that_left_the_list_without_any_copy(self):
         fleet = account_fleet.Fleet()
-        for found in fleet.entries.values():
-            found.copier._record_departed()
+        for entry in fleet.entries.values():
+            entry.copier._record_departed()
         fleet.kill('entry-2').serve('haneul')
         fleet.unlist('entry-2')
-        await fleet.rounds()
+        await fleet.copy_rounds()
         report = await fleet.entries['entry-0'].reporter.assemble()
         (gap,) = report.gaps
         assert gap.instance == 'entry-2'
@@ -168,7 +168,7 @@
     async def test_restarted_instance_until_its_successor(self):
         fleet = account_fleet.Fleet()
         fleet.entries['entry-2'].serve('haneul', 3)
-        await fleet.rounds(2)
+        await fleet.copy_rounds(2)
         copied_at_s = fleet.clock.now_s
         fleet.kill('entry-2').serve('haneul')
         fleet.clock.now_s += 5
@@ -181,21 +181,21 @@
     @pytest.mark.proves(Promise.ACCOUNT, Fault.NONE, Step.DRAINING)
     async def test_graceful_end_leaves_no_gap(self):
         fleet = account_fleet.Fleet()
-        found = fleet.entries['entry-2']
-        found.serve('haneul', 3)
-        found.copier.start()
-        await found.copier.close(5.0)
+        entry = fleet.entries['entry-2']
+        entry.serve('haneul', 3)
+        entry.copier.start()
+        await entry.copier.close(5.0)
         fleet.kill('entry-2')
         fleet.unlist('entry-2')
         report = await fleet.entries['entry-0'].reporter.assemble()
         assert served(report) == {'haneul': 3}
         assert not report.gaps
 
-    async def test_copy_that_is_being_filled_is_said_to_be_part(self):
+    async def test_copy_during_full_sync_is_stated_as_partial(self):
         fleet = account_fleet.Fleet()
         for number in range(900):
             fleet.entries['entry-2'].serve(f'customer-{number}')
-        await fleet.rounds()
+        await fleet.copy_rounds()
         fleet.kill('entry-2')
         report = await fleet.entries['entry-0'].reporter.assemble()
         (gap,) = report.gaps
@@ -206,10 +206,10 @@
 class TestOneCustomer:
     async def test_holds_no_other_customers_data(self):
         fleet = account_fleet.Fleet()
-        for found in fleet.entries.values():
-            found.serve('haneul', 2)
-            found.serve('caravan', 5)
-        await fleet.rounds(2)
+        for entry in fleet.entries.values():
+            entry.serve('haneul', 2)
+            entry.serve('caravan', 5)
+        await fleet.copy_rounds(2)
         fleet.kill('entry-2')
         report = await fleet.entries['entry-0'].reporter.assemble('haneul')
         assert served(report) == {'haneul': 6}
@@ -218,11 +218,11 @@
 
 
 class TestPage:
-    async def test_needs_nothing_from_elsewhere(self):
+    async def test_loads_no_external_resources(self):
         fleet = account_fleet.Fleet()
-        for found in fleet.entries.values():
-            with found.account.track_request('id') as tally:
-                found.account.identify(tally, fleet.contract('haneul'))
+        for entry in fleet.entries.values():
+            with entry.account.track_request('id') as tally:
+                entry.account.identify(tally, fleet.contract('haneul'))
                 for _ in range(4):
                     tally.record_events(1)
                 tally.record_delivery()
@@ -234,20 +234,20 @@
         for name in ('src=', 'href="http', '@import', 'url(http'):
             assert name not in page
 
-    async def test_writes_its_times_out(self):
-        """A manager reads '6.55e+04' below the plot of slow answers."""
+    async def test_axis_labels_have_no_exponents(self):
+        """The axis of a plot of slow answers has labels as '6.55e+04'."""
         fleet = account_fleet.Fleet(1)
-        found = fleet.entries['entry-0']
-        with found.account.track_request('id') as tally:
-            found.account.identify(tally, fleet.contract('haneul'))
+        entry = fleet.entries['entry-0']
+        with entry.account.track_request('id') as tally:
+            entry.account.identify(tally, fleet.contract('haneul'))
             fleet.clock.now_s += 60.0
             tally.record_events(1)
             tally.record_delivery()
-        page = report_page.render(await found.reporter.assemble())
+        page = report_page.render(await entry.reporter.assemble())
         assert '>65536<' in page
         assert 'e+' not in page
 
-    async def test_says_its_gaps_first(self):
+    async def test_shows_gaps_before_tables(self):
         fleet = account_fleet.Fleet()
         fleet.entries['entry-0'].serve('haneul')
         fleet.kill('entry-2')
@@ -321,7 +321,7 @@
             ('nobody', TOKEN, '404: .* has no contract'),
         ],
     )
-    async def test_command_says_why_it_got_none(
+    async def test_fetch_states_the_reason_of_a_refusal(
         self, ask, customer, token, reason
     ):
         with pytest.raises(errors.PlatformError, match=reason):
@@ -334,13 +334,13 @@
             ('http://127.0.0.1:1', 'Cannot connect to host 127.0.0.1:1'),
         ],
     )
-    async def test_command_says_what_it_did_not_reach(self, url, reason):
+    async def test_fetch_states_what_is_unreachable(self, url, reason):
         with pytest.raises(errors.PlatformError, match=reason):
             await report_module.fetch(url, None, TOKEN)
 
     async def test_browser_gives_the_token_as_password(self, ask):
-        given = base64.b64encode(f'anyone:{TOKEN}'.encode()).decode()
-        assert await ask('/report', f'Basic {given}') == 200
+        credentials = base64.b64encode(f'anyone:{TOKEN}'.encode()).decode()
+        assert await ask('/report', f'Basic {credentials}') == 200
         assert await ask('/report', 'Basic !!') == 401
 
     async def test_without_a_digest_no_operators_page(self, ask):
@@ -348,16 +348,16 @@
         assert await ask('/report', f'Bearer {TOKEN}') == 401
         assert await ask('/report', 'Bearer ') == 401
 
-    async def test_reports_in_a_row_ask_the_fleet_once(self, ask):
+    async def test_repeated_requests_share_a_cached_report(self, ask):
         assembled = []
         reporter = self.server._reporter
         assemble = reporter.assemble
 
-        async def counted(customer=None, limit=None):
+        async def record_assembly(customer=None, limit=None):
             assembled.append(customer)
             return await assemble(customer, limit)
 
-        reporter.assemble = counted
+        reporter.assemble = record_assembly
         for _ in range(5):
             await ask('/report', f'Bearer {TOKEN}')
         assert assembled == [None]
