--- a/lacewingpitch/standin_cli.py
+++ b/lacewingpitch/standin_cli.py
@@ -1,4 +1,4 @@
-"""The commands that run stand-ins of outside systems."""
+"""Commands that run stand-ins for outside systems."""
 
 from typing import Protocol
 
@@ -12,7 +12,7 @@
 
 @click.group()
 def standin() -> None:
-    """Run a small stand-in of an outside system, for tests."""
+    """Run a stand-in for an outside system, for tests."""
 
 
 @standin.command('engine')
@@ -43,15 +43,15 @@
         token_s=token_s,
         answer_tokens=answer_tokens,
     )
-    daemon.serve(_AtAddress(engine, ip, port))
+    daemon.serve(_StandinDaemon(engine, ip, port))
 
 
 @standin.command('platform')
 @click.option('--ip', default='127.0.0.1', show_default=True)
 @click.option('--port', type=int, default=0, show_default=True)
 def standin_platform_command(ip: str, port: int) -> None:
-    """Run a stand-in for configuration service and live list."""
-    daemon.serve(_AtAddress(standin_platform.StandinPlatform(), ip, port))
+    """Run a stand-in for the configuration service and the live list."""
+    daemon.serve(_StandinDaemon(standin_platform.StandinPlatform(), ip, port))
 
 
 @standin.command('service')
@@ -61,10 +61,12 @@
 def standin_service_command(ip: str, port: int, answer_s: float) -> None:
     """Run a stand-in for a plain service."""
     service = standin_service.StandinService(answer_s=answer_s)
-    daemon.serve(_AtAddress(service, ip, port))
+    daemon.serve(_StandinDaemon(service, ip, port))
 
 
 class _Listener(Protocol):
+    """A server that starts on a given address."""
+
     @property
     def port(self) -> int: ...
 
@@ -73,7 +75,9 @@
     async def close(self) -> None: ...
 
 
-class _AtAddress:
+class _StandinDaemon:
+    """Adapts a stand-in to the ``Daemon`` protocol."""
+
     def __init__(self, listener: _Listener, ip: str, port: int) -> None:
         self._listener = listener
         self._ip = ip
--- a/lacewingpitch/standin_engine.py
+++ b/lacewingpitch/standin_engine.py
@@ -1,4 +1,9 @@
-"""A small stand-in for a model engine, with its own account of truth."""
+"""Stand-in for a model engine that records what it ran.
+
+A stand-in is a small test double of an outside system: it listens on a
+real port, injects faults on command and records its own state, which
+tests and the demo compare with what callers received.
+"""
 
 import asyncio
 import collections
@@ -12,34 +17,38 @@
 from lacewingpitch import http_server
 from lacewingpitch import response_format
 
-_MAX_KEPT_RUNS = 10_000
+_MAX_RESUMABLE_RUNS = 10_000
 
 
 @dataclasses.dataclass(slots=True)
 class EngineFaults:
-    """What the stand-in does wrong on command.
+    """Faults that the stand-in injects.
 
     Parameters
     ----------
     failing_loads
-        How many of the next loads fail.
+        Number of the next adapter loads that fail.
     cut_after_events
-        Streams break after so many events; ``None`` for never.
+        Number of events after which the next stream that reaches it is
+        aborted; ``None`` for no abort.
     wrong_adapter
-        Whether calls run on another adapter than they name.
+        Whether calls run on an adapter other than the requested one.
     refusing
         Whether every call is refused with status 503.
+    report_delay_s
+        Delay before the state for a report is read.
     runs_on
-        Whether a run goes on when its connection breaks.
+        Whether a run continues when its connection is lost.
     refusing_resumes
-        Whether no stream can be taken up again.
+        Whether requests to resume a stream are refused.
     cutting_whole
-        How many of the next whole answers break off after their run.
+        Number of the next non-streamed answers whose connection is
+        aborted after the run has finished.
     status
-        Every call is answered with this status, if it is not 0.
+        HTTP status with which every call is refused; 0 for no refusal.
     late_s
-        Every second answer, to whatever was asked, comes so much later
-        than what it tells of: answers overtake each other.
+        Delay of every second answer, of any endpoint, after the state in
+        it was read.  Answers overtake each other and arrive outdated.
     """
 
     failing_loads: int = 0
@@ -56,7 +65,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Ground truth: one run of one request."""
+    """The record of one run of one request.
+
+    Parameters
+    ----------
+    run_id
+        Id that the sidecar gave the run.
+    adapter
+        Adapter on which the request ran, also if it is the wrong one.
+    body
+        Body of the request.
+    """
 
     run_id: str
     adapter: str
@@ -67,7 +86,18 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineRecord:
-    """Ground truth of an engine, for holding answers against it."""
+    """The recorded state of an engine, to compare with its answers.
+
+    Parameters
+    ----------
+    evictions_under_run
+        Adapters that were evicted while requests ran on them.
+    fenced_orders
+        Number of commands and calls refused for an outdated fencing
+        token.
+    loading
+        Number of loads in progress.
+    """
 
     runs: list[Run] = dataclasses.field(default_factory=list)
     loads: list[str] = dataclasses.field(default_factory=list)
@@ -78,7 +108,7 @@
 
 
 class StandinEngine:
-    """Serves made-up completions on adapters that it must hold."""
+    """Serves generated completions on adapters that it must hold."""
 
     def __init__(
         self,
@@ -100,13 +130,13 @@
         self.recorded = EngineRecord()
         self._incarnations = itertools.count(1)
         self._transports: set[asyncio.Transport] = set()
-        self._answer_numbers = itertools.count()
+        self._answer_indexes = itertools.count()
         self._server = http_server.HttpServer(8 << 20)
         self.restart()
 
     @property
     def port(self) -> int:
-        """Return the port it listens on."""
+        """Return the port on which it listens."""
         return self._server.port
 
     async def start(self, ip: str, port: int = 0) -> None:
@@ -119,7 +149,7 @@
         server.route('POST', '/v1/resume', self._resume)
         server.route('POST', '/v1/chat/completions', self._complete)
         server.route('POST', '/v1/completions', self._complete)
-        server.route('GET', '/truth', self._tell_truth)
+        server.route('GET', '/truth', self._get_record)
         server.route('POST', '/faults', self._set_faults)
         server.route('POST', '/restart', self._restart)
         await server.start(ip, port)
@@ -129,14 +159,14 @@
         await self._server.close()
 
     def restart(self) -> None:
-        """Forget all, as an engine that restarts empty."""
+        """Discard all adapters and runs, as an engine that restarts."""
         self.incarnation = f'incarnation-{next(self._incarnations)}'
         self.last_fencing = 0
         for transport in self._transports:
             transport.abort()
         self.adapters: set[str] = set()
         self.running: collections.Counter[str] = collections.Counter()
-        self._kept: collections.OrderedDict[str, Run] = (
+        self._resumable_runs: collections.OrderedDict[str, Run] = (
             collections.OrderedDict()
         )
 
@@ -151,16 +181,16 @@
             'running': self.running.total(),
             'running_by_adapter': dict(self.running),
         }
-        await self._be_late()
+        await self._delay_answer()
         return web.json_response(report)
 
-    async def _be_late(self) -> None:
-        if next(self._answer_numbers) % 2:
+    async def _delay_answer(self) -> None:
+        if next(self._answer_indexes) % 2:
             await asyncio.sleep(self.faults.late_s)
 
     async def _load(self, request: web.Request) -> web.Response:
-        order = await request.json()
-        if not self._passes_fence(order['fencing']):
+        command = await request.json()
+        if not self._accept_token(command['fencing']):
             return web.Response(status=409)
         self.recorded.loading += 1
         try:
@@ -170,32 +200,33 @@
         if self.faults.failing_loads:
             self.faults.failing_loads -= 1
             return web.Response(status=500, text='load failed')
-        name = order['lora_name']
+        name = command['lora_name']
         if name not in self.adapters:
             if len(self.adapters) >= self.adapter_slots:
                 return web.Response(status=507, text='no free slot')
             self.adapters.add(name)
         self.recorded.loads.append(name)
-        await self._be_late()
+        await self._delay_answer()
         return web.Response()
 
     async def _unload(self, request: web.Request) -> web.Response:
-        order = await request.json()
-        if not self._passes_fence(order['fencing']):
+        command = await request.json()
+        if not self._accept_token(command['fencing']):
             return web.Response(status=409)
-        name = order['lora_name']
+        name = command['lora_name']
         if self.running[name]:
             self.recorded.evictions_under_run.append(name)
         self.adapters.discard(name)
         self.recorded.evictions.append(name)
-        await self._be_late()
+        await self._delay_answer()
         return web.Response()
 
-    def _passes_fence(self, number: int) -> bool:
-        if self.checks_fencing and number < self.last_fencing:
+    def _accept_token(self, token: int) -> bool:
+        """Raise the last token; return whether `token` is not outdated."""
+        if self.checks_fencing and token < self.last_fencing:
             self.recorded.fenced_orders += 1
             return False
-        self.last_fencing = max(self.last_fencing, number)
+        self.last_fencing = max(self.last_fencing, token)
         return True
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
@@ -203,7 +234,7 @@
             return web.Response(status=503)
         if self.faults.status:
             return web.Response(status=self.faults.status, text='refused')
-        if not self._passes_fence(int(request.headers['X-Fencing'])):
+        if not self._accept_token(int(request.headers['X-Fencing'])):
             return web.Response(status=409)
         body = await request.read()
         call = msgspec.json.decode(body)
@@ -214,40 +245,40 @@
             adapter = f'not-{adapter}'
         run = Run(request.headers['X-Request-Id'], adapter, body)
         self.recorded.runs.append(run)
-        self._keep(run)
-        answering = asyncio.create_task(self._answer(request, run, 0))
+        self._retain(run)
+        answer_task = asyncio.create_task(self._answer(request, run, 0))
         try:
-            return await asyncio.shield(answering)
+            return await asyncio.shield(answer_task)
         except asyncio.CancelledError:
             if not self.faults.runs_on:
-                answering.cancel()
+                answer_task.cancel()
             raise
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
-        asked = await request.json()
-        run = self._kept.get(asked['run_id'])
+        parameters = await request.json()
+        run = self._resumable_runs.get(parameters['run_id'])
         if run is None or run.cancelled or self.faults.refusing_resumes:
             return web.Response(status=404)
-        return await self._answer(request, run, asked['after_events'])
+        return await self._answer(request, run, parameters['after_events'])
 
-    def _keep(self, run: Run) -> None:
-        self._kept[run.run_id] = run
-        while len(self._kept) > _MAX_KEPT_RUNS:
-            self._kept.popitem(last=False)
+    def _retain(self, run: Run) -> None:
+        self._resumable_runs[run.run_id] = run
+        while len(self._resumable_runs) > _MAX_RESUMABLE_RUNS:
+            self._resumable_runs.popitem(last=False)
 
     async def _answer(
         self, request: web.Request, run: Run, after_events: int
     ) -> web.StreamResponse:
         call = msgspec.json.decode(run.body)
         tokens = min(call.get('max_tokens') or self.answer_tokens, 100_000)
-        # A restart begins a new count.
+        # A restart replaces the counter; this run is counted in the old one.
         running = self.running
         running[run.adapter] += 1
         transport = request.transport
         assert transport is not None
         self._transports.add(transport)
         try:
-            await self._be_late()
+            await self._delay_answer()
             if call.get('stream'):
                 return await self._stream(request, run, tokens, after_events)
             await asyncio.sleep(self.token_s * tokens)
@@ -299,13 +330,13 @@
                 raise
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        asked = await request.json()
-        run = self._kept.get(asked['run_id'])
+        parameters = await request.json()
+        run = self._resumable_runs.get(parameters['run_id'])
         if run is not None:
             run.cancelled = True
         return web.Response()
 
-    async def _tell_truth(self, _request: web.Request) -> web.Response:
+    async def _get_record(self, _request: web.Request) -> web.Response:
         return web.Response(
             body=msgspec.json.encode(self.recorded),
             content_type='application/json',
--- a/lacewingpitch/standin_platform.py
+++ b/lacewingpitch/standin_platform.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the configuration service and the live list."""
+"""Stand-in for the configuration service and the live list of instances."""
 
 import asyncio
 import collections
@@ -19,17 +19,17 @@
 
 @dataclasses.dataclass(slots=True)
 class PlatformFaults:
-    """What the stand-in does wrong on command.
+    """Faults that the stand-in injects.
 
     Parameters
     ----------
     config_down, list_down
         Whether every read is refused with status 503.
     config_stale, list_stale
-        Whether readers see what was published when the fault began.
+        Whether readers get the content from before the fault began.
     config_jump_back, list_jump_back
-        How many publishings readers see undone; the numbers of revisions
-        go back with them.
+        Number of publications that are rolled back for readers, with
+        their revision numbers.
     """
 
     config_down: bool = False
@@ -41,12 +41,14 @@
 
 
 class PlatformCalls(msgspec.Struct, frozen=True):
-    """Calls that the stand-in counted.
+    """Numbers of the calls that the stand-in received.
 
     Parameters
     ----------
+    config, list
+        Number of reads and watches since the start.
     config_waiting
-        Watches that wait now.
+        Number of watches of values in progress.
     """
 
     config: int
@@ -58,15 +60,15 @@
 
 
 class StandinPlatform:
-    """Publishes values and instances, to be read and watched."""
+    """Publishes values and instances that clients read and watch."""
 
     def __init__(self) -> None:
         self.faults = PlatformFaults()
         self.calls: collections.Counter[str] = collections.Counter()
         self._values: list[_Values] = [{}]
         self._lists = [live_list.InstanceList(0, ())]
-        self._seen_values: _Values = {}
-        self._seen_list = self._lists[0]
+        self._visible_values: _Values = {}
+        self._visible_list = self._lists[0]
         self._revision = 0
         self._config_waiting = 0
         self._changed = asyncio.Condition()
@@ -74,7 +76,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port it listens on."""
+        """Return the port on which it listens."""
         return self._server.port
 
     async def start(self, ip: str, port: int = 0) -> None:
@@ -93,13 +95,13 @@
         await self._server.close()
 
     async def publish(self, name: str, content: bytes) -> int:
-        """Publish a value as an operator would; return its revision."""
+        """Publish a value, as an operator does; return its revision."""
         self._revision += 1
         value = config_service.Value(
             name, self._revision, msgspec.Raw(content)
         )
         self._values.append(self._values[-1] | {name: value})
-        await self._show()
+        await self._update_visible()
         return self._revision
 
     async def publish_contracts(
@@ -134,17 +136,21 @@
         )
         revision = self._lists[-1].revision + 1
         self._lists.append(live_list.InstanceList(revision, instances))
-        await self._show()
+        await self._update_visible()
 
-    async def _show(self) -> None:
-        """Let readers see what the faults allow."""
+    async def _update_visible(self) -> None:
+        """Set what readers get, subject to the faults, and wake watchers."""
         async with self._changed:
             if not self.faults.config_stale:
-                back = min(self.faults.config_jump_back, len(self._values) - 1)
-                self._seen_values = self._values[-1 - back]
+                rollback = min(
+                    self.faults.config_jump_back, len(self._values) - 1
+                )
+                self._visible_values = self._values[-1 - rollback]
             if not self.faults.list_stale:
-                back = min(self.faults.list_jump_back, len(self._lists) - 1)
-                self._seen_list = self._lists[-1 - back]
+                rollback = min(
+                    self.faults.list_jump_back, len(self._lists) - 1
+                )
+                self._visible_list = self._lists[-1 - rollback]
             self._changed.notify_all()
 
     async def _value(self, request: web.Request) -> web.Response:
@@ -152,10 +158,10 @@
         if self.faults.config_down:
             return web.Response(status=503)
         name = request.match_info['name']
-        after, timeout_s = _watch_of(request)
+        after, timeout_s = _watch_parameters(request)
 
         def is_newer() -> bool:
-            found = self._seen_values.get(name)
+            found = self._visible_values.get(name)
             return found is not None and found.revision > after
 
         self._config_waiting += 1
@@ -167,23 +173,23 @@
             return web.Response(status=503)
         if not is_found:
             return web.Response(status=404 if not timeout_s else 204)
-        return _json(self._seen_values[name])
+        return _json(self._visible_values[name])
 
     async def _instances(self, request: web.Request) -> web.Response:
         self.calls['list'] += 1
         if self.faults.list_down:
             return web.Response(status=503)
         if any(
-            tag.value == str(self._seen_list.revision)
+            tag.value == str(self._visible_list.revision)
             for tag in request.if_none_match or ()
         ):
             return web.Response(status=304)
-        after, timeout_s = _watch_of(request)
+        after, timeout_s = _watch_parameters(request)
         if not await self._wait(
-            lambda: self._seen_list.revision > after, timeout_s
+            lambda: self._visible_list.revision > after, timeout_s
         ):
             return web.Response(status=204)
-        return _json(self._seen_list)
+        return _json(self._visible_list)
 
     async def _wait(
         self, predicate: Callable[[], bool], timeout_s: float
@@ -211,7 +217,7 @@
         self.faults = msgspec.json.decode(
             await request.read(), type=PlatformFaults
         )
-        await self._show()
+        await self._update_visible()
         return web.Response()
 
     async def _calls(self, _request: web.Request) -> web.Response:
@@ -224,7 +230,7 @@
         )
 
 
-def _watch_of(request: web.Request) -> tuple[int, float]:
+def _watch_parameters(request: web.Request) -> tuple[int, float]:
     after = int(request.query.get('after_revision', '0'))
     return after, float(request.query.get('timeout_s', '0'))
 
--- a/lacewingpitch/standin_service.py
+++ b/lacewingpitch/standin_service.py
@@ -1,4 +1,4 @@
-"""A small stand-in for a plain service, with its own account of truth."""
+"""Stand-in for a plain service that records its calls."""
 
 import asyncio
 import dataclasses
@@ -11,18 +11,19 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceFaults:
-    """What the stand-in does wrong on command.
+    """Faults that the stand-in injects.
 
     Parameters
     ----------
     body_bytes
-        Size of every answer; 0 for an echo.
+        Size of the body of every answer; 0 to echo the request.
     cut_after_bytes
-        Answers break off after so many bytes; ``None`` for never.
+        Number of bytes after which every answer is aborted; ``None`` for
+        no abort.
     dropping
-        How many of the next calls run, and then their connection breaks.
+        Number of the next calls that run and then lose their connection.
     answer_s
-        How long a call takes; the stand-in's own time if negative.
+        Duration of a call; if negative, the default of the stand-in.
     """
 
     body_bytes: int = 0
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceRun:
-    """Ground truth: one call that the service ran."""
+    """The record of one call that the service ran."""
 
     run_id: str
     method: str
@@ -42,7 +43,7 @@
 
 
 class StandinService:
-    """Echoes every call and remembers it."""
+    """Echoes every call and records it."""
 
     def __init__(self, *, answer_s: float = 0.01) -> None:
         self.answer_s = answer_s
@@ -52,12 +53,12 @@
 
     @property
     def port(self) -> int:
-        """Return the port it listens on."""
+        """Return the port on which it listens."""
         return self._server.port
 
     async def start(self, ip: str, port: int = 0) -> None:
         """Listen on `ip`."""
-        self._server.route('GET', '/truth', self._tell_truth)
+        self._server.route('GET', '/truth', self._get_record)
         self._server.route('POST', '/faults', self._set_faults)
         self._server.route('*', '/{path:.*}', self._echo)
         await self._server.start(ip, port)
@@ -103,7 +104,7 @@
         )
         return web.Response()
 
-    async def _tell_truth(self, _request: web.Request) -> web.Response:
+    async def _get_record(self, _request: web.Request) -> web.Response:
         return web.Response(
             body=msgspec.json.encode(self.runs),
             content_type='application/json',
