--- a/lacewingpitch/demo.py
+++ b/lacewingpitch/demo.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process."""
+"""A complete deployment in one process, for the demo and tests."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 ENGINE_COUNT = 4
 ADAPTER_SLOTS = 2
 MAX_RUNNING = 16
-# Wide, since tests send all they have through one demo deployment.
+# High, since tests send all their requests through one demo deployment.
 LIMITS = contract.Limits(
     requests_per_s=1000.0,
     burst_requests=1000,
@@ -32,18 +32,24 @@
     queued_requests=100,
     tokens_per_s=1_000_000.0,
 )
-_READY_S = 10.0
+_READY_TIMEOUT_S = 10.0
 CLOCK_SKEW_S = 0.1
 LIST_LAG_S = 1.5
 _ADAPTERS = {
     'haneul': ('ficus-care', 'balcony-summary', 'week-summary'),
     'caravan': ('trade-in', 'warranty', 'finance-terms'),
 }
-_ONCE_ADAPTERS = {'haneul': ('watering-plan',), 'caravan': ('quote',)}
+_AT_MOST_ONCE_ADAPTERS = {'haneul': ('watering-plan',), 'caravan': ('quote',)}
 
 
 class Deployment:
-    """Stand-ins, sidecars and one entry instance, on free ports."""
+    """Stand-ins, sidecars and one entry instance, on free ports.
+
+    Parameters
+    ----------
+    entry_fields
+        Settings of the entry that replace those of the demo.
+    """
 
     def __init__(self, **entry_fields: Any) -> None:
         self._exits = contextlib.AsyncExitStack()
@@ -75,26 +81,27 @@
                 operator_token_digest=contract.digest_key(
                     self._operator_token
                 ),
-                **self._process('entry-0', ZONES[0]) | self._entry_fields,
+                **self._process_settings('entry-0', ZONES[0])
+                | self._entry_fields,
             )
         )
         await self.entry.start()
         self._exits.push_async_callback(self.entry.close)
-        async with asyncio.timeout(_READY_S):
+        async with asyncio.timeout(_READY_TIMEOUT_S):
             await self.entry.ready()
         return self
 
     async def __aexit__(self, *exception: object) -> None:
-        """Stop everything, the entry first."""
+        """Stop everything in reverse order: the entry first."""
         await self._exits.aclose()
 
     @property
     def url(self) -> str:
-        """Return the URL that callers reach."""
+        """Return the URL for callers."""
         return f'http://{IP}:{self.entry.work_port}'
 
     def run_count(self, adapter: str) -> int:
-        """Return how often an adapter ran: the ground truth."""
+        """Return how often an adapter ran, as recorded by the engines."""
         name = f'{adapter}@1'
         return sum(
             run.adapter == name
@@ -103,7 +110,7 @@
         )
 
     async def report(self) -> report_module.Report:
-        """Return the account of service, as operators get it."""
+        """Return the account of service, fetched as an operator does."""
         data = await report_module.fetch(self.url, None, self._operator_token)
         return msgspec.json.decode(data, type=report_module.Report)
 
@@ -139,7 +146,7 @@
         zone = ZONES[number % len(ZONES)]
         sidecar = sidecar_module.Sidecar(
             settings.SidecarSettings(
-                **self._process(f'sidecar-{number}', zone),
+                **self._process_settings(f'sidecar-{number}', zone),
                 backend_server=backend_server,
             )
         )
@@ -157,7 +164,7 @@
             serves=serves,
         )
 
-    def _process(self, instance: str, zone: str) -> dict[str, Any]:
+    def _process_settings(self, instance: str, zone: str) -> dict[str, Any]:
         platform = settings.Address(ip=IP, port=self.platform.port)
         return {
             'deployment': 'demo',
@@ -178,8 +185,8 @@
         return tuple(self._contract(customer) for customer in _ADAPTERS)
 
     def _contract(self, customer: str) -> contract.Contract:
-        granted = [(name, True) for name in _ADAPTERS[customer]]
-        granted += [(name, False) for name in _ONCE_ADAPTERS[customer]]
+        grants = [(name, True) for name in _ADAPTERS[customer]]
+        grants += [(name, False) for name in _AT_MOST_ONCE_ADAPTERS[customer]]
         return contract.Contract(
             customer=customer,
             revision=1,
@@ -192,7 +199,7 @@
                     base_model=BASE_MODEL,
                     repeatable=repeatable,
                 )
-                for name, repeatable in granted
+                for name, repeatable in grants
             ),
             services=(contract.ServiceGrant(name=SERVICE),),
             limits=LIMITS,
--- a/lacewingpitch/demo_traffic.py
+++ b/lacewingpitch/demo_traffic.py
@@ -1,4 +1,4 @@
-"""Sample traffic through a deployment in one process, and its report."""
+"""Sends sample traffic to a demo deployment and prints its report."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 _SERVED = 'served'
 _LOAD_STALL_TEXT = (
     'Every adapter was called for the first time here, so the load stalls'
-    ' are first loads; an alert for the first token has no other cause.'
+    ' are first loads, the only cause of alerts for the first token.'
 )
 
 
@@ -30,6 +30,8 @@
         Adapter, or path below the plain service.
     key
         Idempotency key; empty for none.
+    is_service
+        Whether the request is for the plain service.
     """
 
     customer: str
@@ -41,14 +43,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What a caller got.
+    """The result of one request, as the caller received it.
 
     Parameters
     ----------
     kind
-        Error kind, or ``served`` for a whole answer.
+        Error kind, ``served`` for a complete answer, or ``cut`` for a
+        stream without its end event.
     body
-        The bytes of the answer.
+        Body of the answer.
     """
 
     call: Call
@@ -59,7 +62,7 @@
     body: bytes
 
 
-# Caravan asks for an adapter of Haneul's: that one is refused.
+# The last call is refused: the adapter is not in the caller's contract.
 CALLS = (
     Call('haneul', 'ficus-care'),
     Call('haneul', 'ficus-care', stream=True),
@@ -71,11 +74,11 @@
     Call('caravan', 'finance-terms', stream=True),
     Call('caravan', 'ficus-care'),
 )
-ONCE = Call('caravan', 'quote')
+AT_MOST_ONCE_CALL = Call('caravan', 'quote')
 
 
 class Caller:
-    """Sends the sample traffic, as customers' programs would."""
+    """Sends the sample traffic, as the programs of customers do."""
 
     def __init__(
         self, deployment: demo.Deployment, session: aiohttp.ClientSession
@@ -84,7 +87,7 @@
         self._session = session
 
     async def send(self, call: Call) -> Result:
-        """Send one request and take its answer."""
+        """Send one request and read its answer."""
         async with self._request(call) as response:
             body = await response.read()
         kind = response.headers.get(work.KIND_HEADER, _SERVED)
@@ -125,7 +128,8 @@
 async def run_demo(console: rich.console.Console | None = None) -> int:
     """Serve sample traffic and print a report; return the exit code.
 
-    The code is 0 if what was sent twice ran once, by the engines' truth.
+    The exit code is 0 if the engines recorded exactly one run of the
+    request that was sent twice.
     """
     console = console or rich.console.Console()
     async with (
@@ -134,38 +138,43 @@
     ):
         caller = Caller(deployment, session)
         results = await asyncio.gather(*(caller.send(call) for call in CALLS))
-        # Sidecars that have just started back no key made until now.
+        # Sidecars that have just started vote only for keys created later.
         await asyncio.sleep(demo.LIST_LAG_S + demo.CLOCK_SKEW_S)
-        once = dataclasses.replace(ONCE, key=str(uuid_utils.uuid7()))
-        twice = [await caller.send(once), await caller.send(once)]
-        run_count = deployment.run_count(once.target)
+        call = dataclasses.replace(
+            AT_MOST_ONCE_CALL, key=str(uuid_utils.uuid7())
+        )
+        repeated = [await caller.send(call), await caller.send(call)]
+        run_count = deployment.run_count(call.target)
         report_text.print_table(await deployment.report(), console)
     console.print(_LOAD_STALL_TEXT)
     for result in results:
         if result.kind != _SERVED:
             console.print(_refusal_text(result))
-    console.print(_twice_text(twice, run_count))
+    console.print(_repeated_text(repeated, run_count))
     return 0 if run_count == 1 else 1
 
 
 def _refusal_text(result: Result) -> str:
     return (
-        f'Refused: {result.call.customer} asked for {result.call.target!r}:'
+        f'Refused: {result.call.customer} requested {result.call.target!r}:'
         f' {result.kind} ({result.outcome}), {result.detail}.'
     )
 
 
-def _twice_text(results: list[Result], run_count: int) -> str:
+def _repeated_text(results: list[Result], run_count: int) -> str:
     answers = ', then '.join(
         f'{r.status} {r.kind} ({r.outcome})' for r in results
     )
     call = results[0].call
-    same = 'the same answer' if _are_equal(results) else 'DIFFERENT ANSWERS'
-    verdict = 'exactly once' if run_count == 1 else 'NOT ONCE'
+    equality = (
+        'the same answer' if _are_equal(results) else 'DIFFERENT ANSWERS'
+    )
+    verdict = 'exactly once' if run_count == 1 else 'NOT EXACTLY ONCE'
     return (
-        f'Sent twice with one key: {call.customer} asked for'
-        f' {call.target!r}, which may not be repeated: {answers}; {same}.\n'
-        f'By their own count the engines ran it {run_count} time(s):'
+        f'Sent twice with one key: {call.customer} requested'
+        f' {call.target!r}, which must not be repeated: {answers};'
+        f' {equality}.\n'
+        f'By their own records the engines ran it {run_count} time(s):'
         f' {verdict}.'
     )
 
@@ -176,4 +185,4 @@
 
 def _detail(body: bytes) -> str:
     found = work.decode_error(body)
-    return found.error.detail if found else 'the answer broke off'
+    return found.error.detail if found else 'the answer is incomplete'
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo that a newcomer runs first."""
+"""The demo command."""
 
 import asyncio
 import io
@@ -18,7 +18,7 @@
 
 
 class TestReport:
-    def test_says_customer_by_customer_who_got_what(self, text):
+    def test_shows_the_counts_of_each_customer(self, text):
         rows = _rows(text)
         assert rows['customer'] == ['caravan', 'haneul']
         assert rows['received'] == ['6', '5']
@@ -33,7 +33,7 @@
         assert haneul in {'3', '4'}
         assert rows['burn: answers served whole'][:2] == ['0.0', 'over']
 
-    def test_says_that_nothing_is_missing(self, text):
+    def test_states_that_there_are_no_gaps(self, text):
         assert 'No gaps: every known instance was read.' in text
 
     def test_gives_the_reason_of_the_refusal(self, text):
@@ -41,7 +41,7 @@
         assert 'not-in-contract (not-run)' in text
         assert "names no adapter 'ficus-care'" in text
 
-    def test_counts_at_the_engines_what_was_sent_twice(self, text):
+    def test_shows_that_a_repeated_request_ran_once(self, text):
         text = ' '.join(text.split())
         assert '200 served (served), then 200 served (served)' in text
         assert 'the same answer' in text
@@ -49,7 +49,7 @@
 
 
 def _rows(text):
-    """Return the cells after each row's name, which ends at two blanks."""
+    """Return the cells of each row by its name, which two spaces end."""
     rows = {}
     for line in text.splitlines():
         name, _, cells = line.strip().partition('  ')
