--- a/lacewingpitch/contract_registry.py
+++ b/lacewingpitch/contract_registry.py
@@ -86,13 +86,13 @@
             revoked or outdated.
         """
         digest = contract_module.digest_key(api_key)
-        customers_of_key = [
+        contracts = [
             self._contracts[c]
             for c in self._customers_by_digest.get(digest, ())
         ]
-        if not customers_of_key:
+        if not contracts:
             raise self._unknown_key()
-        current = [c for c in customers_of_key if not c.revoked]
+        current = [c for c in contracts if not c.revoked]
         # An operator may list the same key in two customers' contracts by
         # mistake.  If the last one read had the key, requests would be
         # charged to the wrong customer, and instances that read them in
@@ -103,7 +103,7 @@
                 errors.ErrorKind.UNAUTHENTICATED,
                 'more than one contract lists the API key',
             )
-        found = current[0] if current else customers_of_key[0]
+        found = current[0] if current else contracts[0]
         if found.customer in self._outdated:
             raise errors.RefusalError(
                 errors.ErrorKind.CONTRACT_OUTDATED,
--- a/lacewingpitch/usage_lease.py
+++ b/lacewingpitch/usage_lease.py
@@ -11,7 +11,8 @@
 from lacewingpitch import link
 from lacewingpitch import token_bucket
 
-# After this time, the unused part of a lease is returned to the owner.
+# After this time, the unused part of a lease can't be used any more and is
+# returned to the owner.
 LEASE_S = 1.0
 # Level of a new owner's bucket, relative to the burst: the owner doesn't
 # know what its predecessor has leased.
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -225,8 +225,8 @@
                 for _ in range(SLOTS + QUEUE)
             ]
             await asyncio.sleep(1.0)
-            for running in calls:
-                running.cancel()
+            for task in calls:
+                task.cancel()
             await asyncio.gather(*calls, return_exceptions=True)
             await asyncio.sleep(10.0)
         customer = entry.limits._customers.get(CUSTOMER)
