--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -310,7 +310,7 @@
 
 
 def _voters_of(key: str, index: voter.VoterIndex) -> voter.VoterSet:
-    return index.voters_of('customer', key, 'region-0')
+    return index.select_voters('customer', key, 'region-0')
 
 
 def measure_votes():
@@ -354,7 +354,7 @@
         list_age_s=lambda: 0.0,
         max_votes=len(asks),
     )
-    found.take_list(members)
+    found.apply_list(members)
     ahead.ahead_s = _AHEAD_S
     for ask in asks:
         assert found.vote(ask).verdict is voter.Verdict.GRANTED
@@ -371,7 +371,7 @@
     keys = [str(uuid.UUID(int=number + offset)) for number in made]
     found = []
     for key in keys:
-        voters = index.voters_of('customer-0001', key, 'region-0')
+        voters = index.select_voters('customer-0001', key, 'region-0')
         found.append(
             voter.VoteRequest(
                 customer='customer-0001',
@@ -410,12 +410,12 @@
 def count_answer(account: account_module.Account, number: int) -> None:
     """Count one streamed answer of a customer."""
     customer = make_contract(number)
-    with account.counted('id') as tally:
+    with account.track_request('id') as tally:
         account.identify(tally, customer)
-        tally.stalled('0.25')
+        tally.record_load_stall('0.25')
         for _ in range(20):
-            tally.wrote(1)
-        tally.delivered()
+            tally.record_events(1)
+        tally.record_delivery()
 
 
 def make_row() -> account_rows.Row:
@@ -475,7 +475,7 @@
 ) -> account_rows.RowTable:
     table = account_rows.RowTable()
     for number in range(count):
-        table.writable(f'customer-{number:05}').update(row)
+        table.writable_row(f'customer-{number:05}').update(row)
     now_s = clock_module.SystemClock().wall_s()
     for _ in range(sweeps * 2):
         table.sweep(count + 1, now_s)
--- a/lacewingpitch/report_text.py
+++ b/lacewingpitch/report_text.py
@@ -1,4 +1,4 @@
-"""The report as text: tables for a terminal, and words for the page."""
+"""Text of a report: tables for the terminal, and formats of its values."""
 
 from collections.abc import Iterable, Mapping
 import time
@@ -17,7 +17,7 @@
     burn.Subject.FIRST_TOKEN: 'first token in time',
     burn.Subject.BETWEEN_TOKENS: 'tokens after it in time',
 }
-_MAX_SIDE_BY_SIDE = 3
+_MAX_TRANSPOSED_CUSTOMERS = 3
 _TABLE_WINDOWS = ('5 min', '1 h')
 _COLUMNS = (
     'customer',
@@ -39,30 +39,35 @@
 def print_table(
     report: report_module.Report, console: rich.console.Console
 ) -> None:
-    """Print a report as tables, its gaps first."""
+    """Print a report as a table, after its gaps.
+
+    Up to three customers are columns, more are rows.
+    """
     console.print(
-        f'Account of service at {utc(report.generated_at_s)},'
+        f'Account of service at {format_utc(report.generated_at_s)},'
         f' assembled by {report.generated_by}'
     )
     for gap in report.gaps:
         console.print(f'[bold red]GAP[/] {describe_gap(gap)}')
     if not report.gaps:
         console.print('No gaps: every known instance was read.')
-    if 0 < len(report.services) <= _MAX_SIDE_BY_SIDE:
-        console.print(_side_by_side(report.services))
+    if 0 < len(report.services) <= _MAX_TRANSPOSED_CUSTOMERS:
+        console.print(_transposed_table(report.services))
         return
     table = rich.table.Table(*_COLUMNS)
     for service in report.services:
-        table.add_row(*_cells(service))
+        table.add_row(*_request_cells(service))
     console.print(table)
 
 
-def _side_by_side(
-    services: Iterable[report_content.CustomerService],
+def _transposed_table(
+    services: Iterable[report_content.CustomerSummary],
 ) -> rich.table.Table:
-    # Thirteen columns do not fit a terminal; a few customers do.
+    # Thirteen columns do not fit the width of a terminal, but a few
+    # customers as columns do.
     columns = [
-        (*_cells(service), *_burn_cells(service)) for service in services
+        (*_request_cells(service), *_burn_cells(service))
+        for service in services
     ]
     names = (*_COLUMNS, *(f'burn: {name}' for name in SUBJECT_NAMES.values()))
     header, *rows = zip(names, *columns, strict=True)
@@ -72,7 +77,7 @@
     return table
 
 
-def _burn_cells(service: report_content.CustomerService) -> tuple[str, ...]:
+def _burn_cells(service: report_content.CustomerSummary) -> tuple[str, ...]:
     return tuple(
         '\n'.join(
             f'{found.burn_rate:.1f} over {found.window}'
@@ -87,64 +92,64 @@
 
 
 def describe_gap(gap: report_gaps.Gap) -> str:
-    """Return a gap as a sentence."""
-    start = 'an unknown time' if gap.from_s is None else utc(gap.from_s)
-    end = 'an unknown time' if gap.to_s is None else utc(gap.to_s)
+    """Return a gap as text."""
+    start = 'an unknown time' if gap.from_s is None else format_utc(gap.from_s)
+    end = 'an unknown time' if gap.to_s is None else format_utc(gap.to_s)
     return (
         f'{gap.instance} ({gap.availability_zone}): {gap.reason}.'
         f' Answers from {start} to {end} may be missing.'
     )
 
 
-def utc(time_s: float) -> str:
-    """Return a time as text, for readers in any time zone."""
+def format_utc(time_s: float) -> str:
+    """Format a time as date and time in UTC."""
     return time.strftime('%Y-%m-%d %H:%M:%S UTC', time.gmtime(time_s))
 
 
-def milliseconds(time_s: float | None) -> str:
-    """Return a time in milliseconds, or a dash for none."""
+def format_ms(time_s: float | None) -> str:
+    """Format a duration in milliseconds, ``None`` as a dash."""
     return '-' if time_s is None else f'{time_s * 1000:.0f} ms'
 
 
 def display_name(customer: str) -> str:
-    """Return a customer's name, or what stands for no customer."""
+    """Return a customer's name, or a text for unidentified requests."""
     return customer or '(no customer identified)'
 
 
-def _cells(service: report_content.CustomerService) -> tuple[str, ...]:
+def _request_cells(service: report_content.CustomerSummary) -> tuple[str, ...]:
     return (
         display_name(service.customer),
         str(service.received_count),
         str(service.served_count),
-        kinds(service.refused),
-        kinds(service.unknown),
-        kinds(service.partial),
+        format_kinds(service.refused),
+        format_kinds(service.unknown),
+        format_kinds(service.partial),
         str(service.caller_gone_count),
         str(service.unended_count),
         str(service.token_count),
-        stalls(service),
-        milliseconds(service.first_token.p95_s),
-        milliseconds(service.between_tokens.p95_s),
-        alerts(service),
+        format_stalls(service),
+        format_ms(service.first_token.p95_s),
+        format_ms(service.between_tokens.p95_s),
+        format_alerts(service),
     )
 
 
-def kinds(counts: Mapping[str, int]) -> str:
-    """Return counts by kind as text."""
+def format_kinds(counts: Mapping[str, int]) -> str:
+    """Format counts by error kind, a line each."""
     found = (f'{kind} {count}' for kind, count in sorted(counts.items()))
     return '\n'.join(found) or '0'
 
 
-def stalls(service: report_content.CustomerService) -> str:
-    """Return the load stalls as text, with how many were not measured."""
+def format_stalls(service: report_content.CustomerSummary) -> str:
+    """Format the load stalls: number, duration, number not measured."""
     text = f'{service.stalled_count} ({service.stall_s:.1f} s)'
     if service.stall_not_measured_count:
         text += f'\n{service.stall_not_measured_count} not measured'
     return text
 
 
-def alerts(service: report_content.CustomerService) -> str:
-    """Return the alerts that fire as text."""
+def format_alerts(service: report_content.CustomerSummary) -> str:
+    """Format the firing alerts, a line each."""
     found = (
         f'{alert.severity}: {alert.subject} over {alert.long_window}'
         for alert in service.alerts
