--- a/benchmarks/usage.py
+++ b/benchmarks/usage.py
@@ -43,7 +43,7 @@
         self.cut_entries = frozenset()
         self.count = 0
 
-    async def ask_usage(self, _ip, message, timeout_s):
+    async def request_usage(self, _ip, message, timeout_s):
         self.count += 1
         if message.entry in self.cut_entries:
             await asyncio.sleep(timeout_s)
--- a/lacewingpitch/control_client.py
+++ b/lacewingpitch/control_client.py
@@ -62,7 +62,7 @@
             message, turn_messages.ConfigurationTaken, timeout_s
         )
 
-    async def ask_usage(
+    async def request_usage(
         self, ip: str, message: usage_lease.UsageAsk, timeout_s: float
     ) -> usage_lease.UsageReply:
         """Request leases on parts of usage limits from their owner."""
--- a/lacewingpitch/usage_limits.py
+++ b/lacewingpitch/usage_limits.py
@@ -34,7 +34,7 @@
 class OwnerLink(Protocol):
     """Sends messages to the owners of limits."""
 
-    async def ask_usage(
+    async def request_usage(
         self, ip: str, message: usage_lease.UsageAsk, timeout_s: float
     ) -> usage_lease.UsageReply:
         """Request parts of limits from the owner at `ip`."""
@@ -260,7 +260,9 @@
         asked_at_s = self._clock.boot_s()
         grants: dict[str, usage_lease.UsageGrant] = {}
         try:
-            reply = await self._link.ask_usage(owner, message, _ASK_TIMEOUT_S)
+            reply = await self._link.request_usage(
+                owner, message, _ASK_TIMEOUT_S
+            )
             grants = {grant.organisation: grant for grant in reply.grants}
         except errors.LinkError as error:
             state.unresponsive_until_s = (
--- a/tests/usage_fakes.py
+++ b/tests/usage_fakes.py
@@ -15,7 +15,7 @@
         self.is_unreachable = False
         self.messages = []
 
-    async def ask_usage(self, _ip, message, _timeout_s):
+    async def request_usage(self, _ip, message, _timeout_s):
         self.messages.append(message)
         if self.is_unreachable:
             raise errors.NoReplyError('silent')
