--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Tests that may fail for a real fault that is known and filed.
+"""The list of tests that may fail for a known fault with an issue.
 
-KNOWN-RED.txt at the root lists them, one a line: the test's node id,
-the cause, the issue, parted by ``|``.  Three lines at most.  CI passes
-over just these failures, and prints them; one that passes is named, so
-that its line goes.
+KNOWN-RED.txt at the root lists them, one per line: the node id of the
+test, the cause and the issue, separated by ``|``; at most three lines.
+CI ignores the failures of these tests only, and prints them.  It also
+prints the tests that pass, so that their lines are removed.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class MalformedError(Exception):
-    """The list is too long, or a line is not what it must be."""
+    """The list is too long or has a malformed line."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,25 +33,27 @@
     """Return the lines of the list."""
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
-        raise MalformedError(f'{len(lines)} lines, allowed are {MAX_LINES}')
-    found = [_parse_line(line) for line in lines]
-    if len({line.test for line in found}) < len(found):
+        raise MalformedError(
+            f'{len(lines)} lines exceed the limit of {MAX_LINES}'
+        )
+    entries = [_parse_line(line) for line in lines]
+    if len({entry.test for entry in entries}) < len(entries):
         raise MalformedError('a test is listed twice')
-    return found
+    return entries
 
 
 def load():
-    """Return the lines of the list; there may be no list."""
+    """Return the lines of the list, none if the file does not exist."""
     return parse(PAGE.read_text()) if PAGE.exists() else []
 
 
 def _parse_line(line):
     parts = [part.strip() for part in line.split('|')]
     if len(parts) != 3 or not all(parts):
-        raise MalformedError(f'not "test | cause | issue": {line}')
+        raise MalformedError(f'expected "test | cause | issue": {line}')
     test, cause, issue = parts
     if not _NODE_ID.fullmatch(test):
-        raise MalformedError(f'not the id of a test: {test}')
+        raise MalformedError(f'not the node id of a test: {test}')
     if not _ISSUE.fullmatch(issue):
-        raise MalformedError(f'not the number of an issue: {issue}')
+        raise MalformedError(f'not an issue number: {issue}')
     return KnownRed(test, cause, issue)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The pages and examples, held against the code."""
+"""Checks that the pages and examples agree with the code."""
 
 import enum
 import pathlib
@@ -56,7 +56,7 @@
 
 class TestPages:
     @pytest.mark.parametrize('page', PAGES, ids=lambda page: page.name)
-    def test_link_to_what_is_there(self, page):
+    def test_link_to_existing_files(self, page):
         for target in _LINK.findall(read(page)):
             assert (page.parent / target).exists(), target
 
@@ -81,19 +81,19 @@
         for path in (ROOT / 'lacewingpitch').glob('[a-z]*.py'):
             assert f'| `{path.stem}` |' in text, path.stem
 
-    def test_status_names_tests_that_are_there(self):
+    def test_status_names_existing_tests(self):
         source = ''
         found = _TEST.findall(read(DOCS / 'STATUS.md'))
         assert found
         for module, subject, name in found:
-            # A class without a module is in the module named before it.
+            # A class without a module belongs to the last named module.
             if module:
                 source = read(ROOT / 'tests' / f'{module}.py')
             pattern = rf'^class {subject}\b|^{subject} ='
             assert re.search(pattern, source, re.M), subject
             assert not name or f'def {name}(' in source, name
 
-    def test_status_names_modules_that_are_there(self):
+    def test_status_names_existing_modules(self):
         for module in _MODULE.findall(read(DOCS / 'STATUS.md')):
             assert (ROOT / 'tests' / f'{module}.py').exists()
 
@@ -111,7 +111,7 @@
         for name in commands:
             assert name in cli.main.commands
 
-    def test_every_command_says_its_exit_codes(self):
+    def test_help_states_the_exit_codes(self):
         context = click.Context(cli.main)
         assert 'Exit codes' in cli.main.get_help(context)
 
@@ -196,7 +196,7 @@
         ('name', 'engines', 'services'),
         [('haneul', 5, 4), ('association', 9, 4)],
     )
-    def test_are_accepted_and_have_the_sizes_of_today(
+    def test_are_valid_and_have_the_expected_sizes(
         self, name, engines, services
     ):
         found = checking.check_paths([ROOT / 'examples' / name])
@@ -216,7 +216,7 @@
         assert len(zones) == 4
 
     @pytest.mark.parametrize('name', ['haneul', 'association'])
-    def test_call_what_their_sidecars_serve(self, name):
+    def test_use_only_models_and_services_of_their_sidecars(self, name):
         folder = ROOT / 'examples' / name
         found = checking.check_paths([folder / 'settings'])
         served = {
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of failures that are known."""
+"""The list of known failures."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class TestParse:
-    def test_takes_up_to_three_lines(self):
+    def test_accepts_up_to_three_lines(self):
         text = '\n'.join(LINE.replace('test_c', f'test_{n}') for n in range(3))
         assert len(known_red.parse(text)) == 3
         assert known_red.parse('') == []
@@ -28,13 +28,13 @@
             'tests/test_a.py::test_b | cause | soon',
         ],
     )
-    def test_refuses_others(self, text):
+    def test_rejects_malformed_lists(self, text):
         with pytest.raises(known_red.MalformedError):
             known_red.parse(text)
 
 
 class TestRuns:
-    """The list at work, in a run of pytest of its own."""
+    """The effect of the list on a separate run of pytest."""
 
     @pytest.fixture
     def run(self, pytester, monkeypatch):
@@ -62,7 +62,7 @@
             ['*test_red: FAILED, as known: why (issue 5)*']
         )
 
-    def test_a_failure_that_is_not_listed_fails(self, run):
+    def test_an_unlisted_failure_fails_the_run(self, run):
         result = run('tests/test_a.py::test_other | why | 5')
         assert result.ret == pytest.ExitCode.TESTS_FAILED
 
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""The whole path, as real processes."""
+"""The path of a request through real processes."""
 
 import asyncio
 
@@ -27,7 +27,9 @@
 
 
 class TestWholePath:
-    async def test_serves_whole_and_streamed_through_both(self, deployment):
+    async def test_serves_plain_and_streamed_answers_by_both_entries(
+        self, deployment
+    ):
         for entry in deployment.entries:
             async with deployment.call(entry, 'haneul', 'ficus') as response:
                 answer = await response.json()
@@ -40,24 +42,26 @@
                 assert text.endswith('data: [DONE]\n\n')
                 assert text.count('trade-in@1') == 8
 
-    async def test_refuses_what_no_contract_names(self, deployment):
+    async def test_refuses_an_adapter_outside_the_contract(self, deployment):
         async with deployment.call(
             deployment.entries[0], 'caravan', 'ficus'
         ) as response:
             assert response.status == 403
             assert response.headers[work.OUTCOME_HEADER] == 'not-run'
-        truths = [await deployment.truth(e) for e in deployment.engines]
-        assert not any(truth.runs for truth in truths)
+        records = [await deployment.truth(e) for e in deployment.engines]
+        assert not any(record.runs for record in records)
 
 
 class TestDrain:
     @pytest.mark.proves(Promise.DRAIN, Fault.NONE, Step.MID_STREAM)
-    async def test_terminated_under_load_cuts_nothing(self, deployment):
-        """A caller sees its stream end early when an instance leaves.
+    async def test_termination_under_load_interrupts_no_stream(
+        self, deployment
+    ):
+        """Guards against streams that end early when an instance leaves.
 
-        Streams run through both entries and all sidecars; then one entry
-        and one sidecar get SIGTERM in the middle of them.  The cause
-        would be a process that ends before its work in progress.
+        It occurs if a process exits before its work in progress has
+        ended.  Streams run through both entries and all sidecars; then
+        one entry and three sidecars get SIGTERM in the middle of them.
         """
         started = asyncio.Event()
 
--- a/tests/test_upgrade_processes.py
+++ b/tests/test_upgrade_processes.py
@@ -1,4 +1,4 @@
-"""Two versions side by side, over real processes."""
+"""Rolling upgrades: two versions side by side, as real processes."""
 
 import asyncio
 import collections
@@ -34,7 +34,7 @@
 
 
 class Callers:
-    """Callers that press on while processes are replaced."""
+    """Callers that send requests while processes are replaced."""
 
     def __init__(self, deployment):
         self._deployment = deployment
@@ -63,14 +63,14 @@
             await self.call(entry, adapter, stream=number % 3 == 0)
             self._in_progress[entry] -= 1
 
-    async def leave(self, entry):
-        """Go on without an entry, as a balancer does before SIGTERM."""
+    async def stop_using(self, entry):
+        """Send nothing to an entry, as a load balancer before SIGTERM."""
         self.entries.remove(entry)
 
-        async def is_left():
+        async def is_idle():
             return not self._in_progress[entry]
 
-        await processes.until(is_left)
+        await processes.until(is_idle)
 
     def stop(self):
         self._stopping.set()
@@ -83,8 +83,8 @@
     assert await old.exited() == 0
     await successor.listening()
     await deployment.ready(successor)
-    # The list tells the two apart: without that, entries that heard the
-    # old one leave would pass the new one over for a minute.
+    # The start time distinguishes the two: without it, entries to which the
+    # old one announced its leaving would not use the new one for a minute.
     deployment.instances = [
         msgspec.structs.replace(i, started_at_s=time.time())
         if i.name == f'sidecar-{number}'
@@ -95,12 +95,12 @@
 
 async def runs(deployment):
     """Return the requests that each engine ran, in order."""
-    truths = [await deployment.truth(e) for e in deployment.engines]
-    return [[run.run_id[:36] for run in truth.runs] for truth in truths]
+    records = [await deployment.truth(e) for e in deployment.engines]
+    return [[run.run_id[:36] for run in record.runs] for record in records]
 
 
 async def check_claims(deployment, entries):
-    """Send one key through entries in turn; it runs once."""
+    """Send one key through each entry; the request runs once."""
     key = ''
 
     async def send(entry):
@@ -109,47 +109,50 @@
         ) as response:
             return response.status, await response.read()
 
-    async def is_backed():
-        # New voters back no key from before their start.
+    async def is_accepted():
+        # New voters do not vote for keys created before their start.
         nonlocal key
         key = processes.new_key()
         return (await send(entries[0]))[0] == 200
 
-    await processes.until(is_backed)
+    await processes.until(is_accepted)
     answers = [await send(entry) for entry in entries]
     assert [status for status, _ in answers] == [200] * len(entries)
     assert len(set(answers)) == 1
-    truths = [await deployment.truth(e) for e in deployment.engines]
-    ran = [
-        run for truth in truths for run in truth.runs if key in str(run.body)
+    records = [await deployment.truth(e) for e in deployment.engines]
+    matching_runs = [
+        run
+        for record in records
+        for run in record.runs
+        if key in str(run.body)
     ]
-    assert len(ran) == 1
+    assert len(matching_runs) == 1
 
 
-async def check_contracts(deployment, found):
-    """Change a contract, and wait until each process knows."""
+async def check_contracts(deployment, all_processes):
+    """Change a contract, and wait until each process has the change."""
     old = deployment.contracts[CUSTOMER]
     revision = old.revision + 1
     deployment.contracts[CUSTOMER] = msgspec.structs.replace(
         old, revision=revision
     )
     await deployment.publish_contracts()
-    for process in found:
+    for process in all_processes:
         await deployment.until_known(process, CUSTOMER, revision)
 
 
 async def check_account(deployment, entries, callers):
-    """Wait until reports have no gap, and hold them against the calls."""
+    """Wait until reports have no gap and count all received calls."""
     received = sum(len(ids) for ids in callers.ids.values())
     for entry in entries:
 
-        async def is_whole(entry=entry):
+        async def is_complete(entry=entry):
             data = await report_module.fetch(entry.url, None, TOKEN)
             found = msgspec.json.decode(data, type=report_module.Report)
             (service,) = (s for s in found.services if s.customer == CUSTOMER)
             return not found.gaps and service.served_count == received
 
-        await processes.until(is_whole)
+        await processes.until(is_complete)
 
 
 class TestRollingUpgrade:
@@ -162,21 +165,20 @@
         ],
         ids=['from-the-previous', 'to-the-next', 'back'],
     )
-    async def test_both_versions_serve_and_nothing_is_lost(
-        self, tmp_path, programs
-    ):
-        """Requests fail while half of the fleet is of another release.
-
-        Two of three sidecars and one of two entries are replaced under
-        load, by processes whose messages have a field and a version
-        number more, or less, or that know the long form alone.  The
-        cause would be a message that one of the versions cannot read.
+    async def test_both_versions_serve_without_loss(self, tmp_path, programs):
+        """Guards against requests that fail during a rolling upgrade.
+
+        It occurs if one of the versions cannot read a message of the
+        other.  Two of three sidecars and one of two entries are replaced
+        under load by processes of a newer or an older release.  The next
+        release has an additional field in all messages and a higher
+        protocol version; the previous release knows only the long form.
         """
         async with processes.Deployment(tmp_path) as deployment:
             deployment.program, other = programs
             await start(deployment)
             callers = Callers(deployment)
-            pressing = [asyncio.create_task(callers.run()) for _ in range(4)]
+            load_tasks = [asyncio.create_task(callers.run()) for _ in range(4)]
             deployment.program = other
             for number in (0, 1):
                 await replace_sidecar(deployment, number)
@@ -185,24 +187,24 @@
             await deployment.ready(new)
             callers.entries.append(new)
             leaving, old = deployment.entries[:2]
-            everyone = (*deployment.sidecars, leaving, old, new)
-            await check_contracts(deployment, everyone)
+            all_processes = (*deployment.sidecars, leaving, old, new)
+            await check_contracts(deployment, all_processes)
             await check_claims(deployment, (old, new))
 
-            async def each_met_each():
-                assert not any(task.done() for task in pressing)
-                ran = await runs(deployment)
+            async def has_each_entry_used_each_engine():
+                assert not any(task.done() for task in load_tasks)
+                ids_by_engine = await runs(deployment)
                 return all(
                     set(ids) & set(callers.ids[entry])
-                    for ids in ran
+                    for ids in ids_by_engine
                     for entry in (old, new)
                 )
 
-            # While three entries take turns, each of them calls each
-            # adapter.  Two would each call every other one, and never
-            # meet an engine that holds the rest.
-            await processes.until(each_met_each)
-            await callers.leave(leaving)
+            # With three entries in rotation, each of them requests every
+            # adapter.  With two, each would request only every second
+            # adapter, and never use an engine that holds the others.
+            await processes.until(has_each_entry_used_each_engine)
+            await callers.stop_using(leaving)
             leaving.terminate()
             assert await leaving.exited() == 0
             deployment.instances = [
@@ -211,17 +213,17 @@
             await deployment.publish_instances()
             served = sum(len(ids) for ids in callers.ids.values())
 
-            async def go_on():
-                assert not any(task.done() for task in pressing)
+            async def are_requests_served():
+                assert not any(task.done() for task in load_tasks)
                 now = sum(len(ids) for ids in callers.ids.values())
                 return now > served + 2 * len(ADAPTERS)
 
-            await processes.until(go_on)
+            await processes.until(are_requests_served)
             callers.stop()
-            await asyncio.gather(*pressing)
+            await asyncio.gather(*load_tasks)
             counts = collections.Counter(sum(await runs(deployment), []))
             for ids in callers.ids.values():
                 assert all(counts[request_id] == 1 for request_id in ids)
             await check_account(deployment, (old, new), callers)
-            for process in everyone:
+            for process in all_processes:
                 assert not process.has_logged('control handler failed')
