--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -150,7 +150,7 @@
                 return False
             return True
 
-        await processes.until(is_backed)
+        await processes.wait_until(is_backed)
         ratios = []
         for _ in range(_ROUNDS):
             ratios.append(await measure_round(deployment))
--- a/benchmarks/contracts.py
+++ b/benchmarks/contracts.py
@@ -61,7 +61,7 @@
         await self.deployment.publish_contracts()
         return started_s
 
-    async def until_known(self, process):
+    async def wait_for_revision(self, process):
         port = process.ports['control_port']
         if port not in self._peers:
             self._peers[port] = link.Peer(self._signer, processes.IP, port)
@@ -113,7 +113,7 @@
     for _ in range(ROUNDS):
         started_s = await fleet.change()
         known_s = await asyncio.gather(
-            *(fleet.until_known(process) for process in fleet.all)
+            *(fleet.wait_for_revision(process) for process in fleet.all)
         )
         for process, at_s in zip(fleet.all, known_s, strict=True):
             times = direct if process in watchers else others
@@ -131,7 +131,9 @@
     platform = fleet.deployment.platform
     for _ in range(3):
         await fleet.change()
-        tasks = [asyncio.create_task(fleet.until_known(p)) for p in fleet.all]
+        tasks = [
+            asyncio.create_task(fleet.wait_for_revision(p)) for p in fleet.all
+        ]
         done, _ = await asyncio.wait(
             tasks, return_when=asyncio.FIRST_COMPLETED
         )
@@ -152,11 +154,11 @@
         paused.freeze()
         await fleet.change()
         await asyncio.gather(
-            *(fleet.until_known(p) for p in fleet.all if p is not paused)
+            *(fleet.wait_for_revision(p) for p in fleet.all if p is not paused)
         )
         woken_s = time.monotonic()
-        paused.wake()
-        times.append(await fleet.until_known(paused) - woken_s)
+        paused.resume()
+        times.append(await fleet.wait_for_revision(paused) - woken_s)
     show('paused, from waking', times, direct_s)
 
 
--- a/benchmarks/silence.py
+++ b/benchmarks/silence.py
@@ -63,7 +63,7 @@
 
 
 async def runs(deployment):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return sum(len(truth.runs) for truth in truths)
 
 
@@ -90,7 +90,7 @@
                     deployment.sidecars[0].freeze()
                     frozen_s = time.monotonic()
                 if not woken_s and now_s >= WARM_S + FROZEN_S:
-                    deployment.sidecars[0].wake()
+                    deployment.sidecars[0].resume()
                     woken_s = time.monotonic()
                 asking.append(asyncio.create_task(caller.ask(len(asking))))
                 await asyncio.sleep(1 / rate_per_s)
--- a/tests/cell_faults.py
+++ b/tests/cell_faults.py
@@ -1,4 +1,7 @@
-"""The faults of the cells; each heals when its context ends."""
+"""Faults of the cells of the fault matrix, as async contexts.
+
+Each fault heals when its context ends.
+"""
 
 import contextlib
 
@@ -14,19 +17,19 @@
     await scene.deployment.sidecars[number].kill()
     yield
     successor = await scene.deployment.spawn_successor(number)
-    await successor.listening()
+    await successor.wait_until_listening()
 
 
 @contextlib.asynccontextmanager
 async def sidecar_frozen(scene, number):
     scene.deployment.sidecars[number].freeze()
     yield
-    scene.deployment.sidecars[number].wake()
+    scene.deployment.sidecars[number].resume()
 
 
 @contextlib.asynccontextmanager
 async def entry_killed(scene, _number):
-    scene.lost_entries.add(1)
+    scene.killed_entries.add(1)
     await scene.deployment.entries[1].kill()
     yield
 
@@ -40,16 +43,16 @@
 
 @contextlib.asynccontextmanager
 async def engine_empty_twice(scene, number):
-    load_count = len((await scene.truth(number)).loads)
+    load_count = len((await scene.engine_record(number)).loads)
     async with engine_empty(scene, number):
 
         async def is_used_again():
-            is_over = all(task.done() for task in scene.asking)
-            return is_over or len((await scene.truth(number)).loads) > (
-                load_count
-            )
+            is_over = all(task.done() for task in scene.pending)
+            return is_over or len(
+                (await scene.engine_record(number)).loads
+            ) > (load_count)
 
-        await processes.until(is_used_again)
+        await processes.wait_until(is_used_again)
     async with engine_empty(scene, number):
         yield
 
@@ -58,7 +61,7 @@
 async def link_cut(scene, number):
     await scene.relays[number].cut()
     yield
-    await scene.relays[number].mend()
+    await scene.relays[number].reopen()
 
 
 @contextlib.asynccontextmanager
@@ -78,7 +81,7 @@
 
 @contextlib.asynccontextmanager
 async def list_wrong(scene, number):
-    """Publish an old list: two names have changed their addresses."""
+    """Publish a wrong list, in which two instances swap their names."""
     right = list(scene.deployment.instances)
     found = scene.deployment.instances
     found[0], found[1] = (
@@ -99,7 +102,7 @@
 
 
 @contextlib.asynccontextmanager
-async def stream_cut(scene, number, cut_at=cell_scene.CUT_AT):
+async def stream_cut(scene, number, cut_at=cell_scene.CUT_AFTER_EVENTS):
     engine = scene.deployment.engines[number]
     await scene.deployment.set_faults(engine, cut_after_events=cut_at)
     yield
@@ -111,11 +114,12 @@
 
         async def is_resumed():
             return any(
-                len(c.tokens()) > cell_scene.CUT_AT for c in scene.calls
-            ) or all(task.done() for task in scene.asking)
+                len(c.tokens()) > cell_scene.CUT_AFTER_EVENTS
+                for c in scene.calls
+            ) or all(task.done() for task in scene.pending)
 
-        await processes.until(is_resumed)
-    async with stream_cut(scene, number, 2 * cell_scene.CUT_AT):
+        await processes.wait_until(is_resumed)
+    async with stream_cut(scene, number, 2 * cell_scene.CUT_AFTER_EVENTS):
         yield
 
 
@@ -126,27 +130,27 @@
 
 @contextlib.asynccontextmanager
 async def partition(scene, _number):
-    """Cut the fleet in two; a contract changes on one side meanwhile."""
-    for border in scene.borders:
-        await border.cut()
+    """Cut the fleet in two, and change a contract on one side."""
+    for cross_link in scene.cross_links:
+        await cross_link.cut()
     await scene.change_versions(scene.next_version())
-    await scene.in_force(0)
-    await scene.serve(cell_scene.ADAPTERS, 0, 1)
+    await scene.wait_until_in_force(0)
+    await scene.wait_until_served(cell_scene.ADAPTERS, 0, 1)
     yield
-    for border in scene.borders:
-        await border.mend()
-    await scene.in_force()
+    for cross_link in scene.cross_links:
+        await cross_link.reopen()
+    await scene.wait_until_in_force()
 
 
 @contextlib.asynccontextmanager
 async def silent_partition(scene, _number):
-    """As above, with links that stay open and pass nothing on."""
-    for border in scene.borders:
-        border.half_open()
-    await scene.serve(cell_scene.ADAPTERS, 0, 1)
+    """Partition the fleet by links that stay open and forward nothing."""
+    for cross_link in scene.cross_links:
+        cross_link.half_open()
+    await scene.wait_until_served(cell_scene.ADAPTERS, 0, 1)
     yield
-    for border in scene.borders:
-        border.heal()
+    for cross_link in scene.cross_links:
+        cross_link.heal()
 
 
 @contextlib.asynccontextmanager
@@ -154,20 +158,20 @@
     platform = scene.deployment.platform
     await scene.deployment.set_faults(platform, config_stale=True)
     await scene.change_versions(scene.next_version())
-    scene.ask_all()
+    scene.send_all()
     yield
     await scene.deployment.set_faults(platform)
-    await scene.in_force()
+    await scene.wait_until_in_force()
 
 
 @contextlib.asynccontextmanager
 async def config_jumps_back(scene, _number):
-    """Undo a change, at the service, after it was in force."""
+    """Roll the configuration service back behind a change in force."""
     await scene.change_versions(scene.next_version())
-    await scene.in_force()
+    await scene.wait_until_in_force()
     platform = scene.deployment.platform
     await scene.deployment.set_faults(platform, config_jump_back=2)
-    scene.ask_all()
+    scene.send_all()
     yield
     await scene.deployment.set_faults(platform)
 
@@ -175,17 +179,17 @@
 @contextlib.asynccontextmanager
 async def version_changed(scene, _number):
     await scene.change_versions(scene.next_version())
-    scene.ask_all()
+    scene.send_all()
     yield
-    await scene.in_force()
+    await scene.wait_until_in_force()
 
 
 @contextlib.asynccontextmanager
 async def version_changed_twice(scene, _number):
     await scene.change_versions(scene.next_version(), scene.next_version(2))
-    scene.ask_all()
+    scene.send_all()
     yield
-    await scene.in_force()
+    await scene.wait_until_in_force()
 
 
 async def _list_as(scene, number, state):
@@ -195,15 +199,15 @@
 
 
 @contextlib.asynccontextmanager
-async def told_to_leave(scene, number):
+async def listed_as_leaving(scene, number):
     await _list_as(scene, number, live_list.InstanceState.LEAVING)
-    async with scene.leaving(number):
+    async with scene.forbid_new_runs(number):
         yield
     await _list_as(scene, number, live_list.InstanceState.LIVE)
 
 
 @contextlib.asynccontextmanager
-async def told_to_leave_and_stay(scene, number):
+async def listed_as_leaving_and_live(scene, number):
     await _list_as(scene, number, live_list.InstanceState.LEAVING)
     await _list_as(scene, number, live_list.InstanceState.LIVE)
     yield
@@ -211,25 +215,28 @@
 
 @contextlib.asynccontextmanager
 async def sidecar_replaced(scene, number):
-    """Start its successor while it is frozen, then kill it."""
+    """Start a sidecar's successor while it is frozen, then kill it."""
     engine = scene.deployment.engines[number]
     await scene.deployment.set_faults(engine, runs_on=True)
     old = scene.deployment.sidecars[number]
     old.freeze()
     successor = await scene.deployment.spawn_successor(number)
 
-    async def waits():
+    async def waits_for_port():
         return successor.has_logged('port in use')
 
-    await processes.until(waits)
+    await processes.wait_until(waits_for_port)
     await old.kill()
     yield
-    await successor.listening()
+    await successor.wait_until_listening()
 
 
 @contextlib.asynccontextmanager
 async def engine_wrong(scene, _number):
-    """Have adapters run that are not named, as after foreign orders."""
+    """Have an engine run another adapter than the one requested.
+
+    This happens when another process gives the engine orders.
+    """
     scene.has_wrong_engine = True
     engine = scene.deployment.engines[0]
     await scene.deployment.set_faults(engine, wrong_adapter=True)
@@ -248,21 +255,21 @@
 
 @contextlib.asynccontextmanager
 async def sent_again(scene, _number):
-    """Send what has a key once more through the other entry."""
+    """Send requests with a key once more through the other entry."""
     scene.is_sent_twice = True
     for call in list(scene.calls):
         if call.key and not call.outcome:
-            scene.ask_again(call)
+            scene.send_again(call)
     yield
     scene.is_sent_twice = False
 
 
 @contextlib.asynccontextmanager
 async def draining(scene, number):
-    """Tell a sidecar to end; another one takes its place."""
+    """Terminate a sidecar, which drains; a successor replaces it."""
     scene.deployment.sidecars[number].terminate()
-    async with scene.leaving(number):
+    async with scene.forbid_new_runs(number):
         yield
     await scene.deployment.sidecars[number].kill()
     successor = await scene.deployment.spawn_successor(number)
-    await successor.listening()
+    await successor.wait_until_listening()
--- a/tests/cell_scene.py
+++ b/tests/cell_scene.py
@@ -1,8 +1,9 @@
-"""A small deployment under faults, and what its callers got of it.
+"""A small deployment under faults, and checks of the answers it gave.
 
-Two engines with one slot each and a plain service, two entries, and more
-adapters than slots: whatever is done wrongly shows in the check at the
-end, which all cells share.
+It has two engines with one adapter slot each, a plain service and two
+entries.  There are more adapters than slots, so that a mistake with an
+adapter shows in the final check, which all cells of the fault matrix
+share.
 """
 
 import asyncio
@@ -25,25 +26,28 @@
 
 Step = fault_matrix.Step
 
-END = 'data: [DONE]\n\n'
-TOKENS = 30
-FEW_TOKENS = 4
-CUT_AT = 12
+STREAM_END = 'data: [DONE]\n\n'
+TOKEN_COUNT = 30
+FEW_TOKEN_COUNT = 4
+CUT_AFTER_EVENTS = 12
 DEADLINE_S = 3.0
-RETRY_S = 0.1
+RETRY_INTERVAL_S = 0.1
 SERVICE = 'plain'
 ADAPTERS = {'fern': 'again', 'moss': 'again', 'ficus': 'once', 'aloe': 'once'}
 ENGINE_OPTIONS = ('--adapter-slots=1', '--load-s=0.3', '--token-s=0.03')
-# Voters back no key made within the skew of their start.
-CLOCKS = {'clock_skew_s': 0.5, 'list_lag_s': 5.0}
+# Short, since voters grant no key made within the clock skew of their
+# start.
+CLOCK_SETTINGS = {'clock_skew_s': 0.5, 'list_lag_s': 5.0}
 
 
 @dataclasses.dataclass
 class Call:
-    """One call, its label in the truth, and what its caller got.
+    """One call and its answer.
 
-    `versions` are those it may run on; calls of one time share the set.
-    Sendings of the same request share label and key.
+    The label identifies the request in the runs that backend servers
+    record; repeated calls of a request share label and key.  `versions`
+    are the adapter versions that it may run on; calls of the same period
+    share the set.
     """
 
     label: str
@@ -52,46 +56,46 @@
     stream: bool
     versions: set[str]
     key: str = ''
-    max_tokens: int = TOKENS
+    max_tokens: int = TOKEN_COUNT
     request_id: str = ''
     outcome: str = ''
     text: str = ''
 
     def tokens(self):
-        """Return the run and the number of each token that arrived."""
+        """Return the run ID and the number of each token that arrived."""
         found = re.findall(r'([\w.\-/]+):(\d+)(?=[ "])', self.text)
         return [(run_id, int(number)) for run_id, number in found]
 
     def is_whole(self):
         if self.adapter == SERVICE:
             return self.outcome == 'served'
-        is_ended = self.text.endswith(END) or not self.stream
+        is_ended = self.text.endswith(STREAM_END) or not self.stream
         return self.outcome == 'served' and is_ended
 
 
 class Scene:
-    """A deployment with a relay before each engine's sidecar.
+    """A deployment with a relay in front of each engine's sidecar.
 
-    A split one has two sides, each with an engine, an entry and a
-    platform of its own; `borders` are all links between the sides.
+    A split deployment has two sides, each with an engine, an entry and a
+    platform of its own; `cross_links` are all links between the sides.
     """
 
     def __init__(self, deployment):
         self.deployment = deployment
         self.relays = []
-        self.borders = []
+        self.cross_links = []
         self.platforms = [deployment.platform]
         self.calls = []
-        self.asking = []
-        self.lost_entries = set()
+        self.pending = []
+        self.killed_entries = set()
         self.versions = {'1'}
         self.is_sent_twice = False
         self.has_wrong_engine = False
-        self._barred = set()
+        self._forbidden_runs = set()
         self._labels = itertools.count()
 
     async def build(self, exits, engine_options, is_split, max_running):
-        """Start all processes, and wait until all of them serve."""
+        """Start all processes, and wait until all adapters are served."""
         found = self.deployment
         other = {}
         if is_split:
@@ -110,11 +114,11 @@
             )
         )
         await asyncio.gather(
-            found.add_sidecar(backends[0], **CLOCKS),
-            found.add_sidecar(backends[1], **CLOCKS, **other),
-            found.add_sidecar(backends[2], **CLOCKS),
-            found.add_entry(**CLOCKS),
-            found.add_entry(**CLOCKS, **other),
+            found.add_sidecar(backends[0], **CLOCK_SETTINGS),
+            found.add_sidecar(backends[1], **CLOCK_SETTINGS, **other),
+            found.add_sidecar(backends[2], **CLOCK_SETTINGS),
+            found.add_entry(**CLOCK_SETTINGS),
+            found.add_entry(**CLOCK_SETTINGS, **other),
         )
         direct = list(found.instances)
         for number in range(2):
@@ -124,16 +128,18 @@
             found.instances[number] = msgspec.structs.replace(
                 direct[number], work_port=self.relays[number].port
             )
-        self._far = {}
+        self._remote_instances = {}
         if is_split:
             for instance in direct:
-                self._far[instance.name] = await self._across(exits, instance)
+                self._remote_instances[
+                    instance.name
+                ] = await self._make_remote(exits, instance)
         self._add_customers()
         await self.publish_instances()
         await self.publish_contracts(*self.platforms)
         for entry in found.entries:
-            await found.ready(entry)
-        await self.recover()
+            await found.wait_until_ready(entry)
+        await self.wait_until_recovered()
 
     @staticmethod
     def _engine(process, max_running):
@@ -147,22 +153,23 @@
     async def _relay(self, exits, port):
         return await exits.enter_async_context(relay.Relay(port))
 
-    async def _across(self, exits, instance):
-        """Return an instance as it is seen from the other side."""
+    async def _make_remote(self, exits, instance):
+        """Return an instance as the other side lists it, behind relays."""
         ports = {}
         for name in ('work_port', 'control_port'):
-            border = await self._relay(exits, getattr(instance, name))
-            self.borders.append(border)
-            ports[name] = border.port
+            cross_link = await self._relay(exits, getattr(instance, name))
+            self.cross_links.append(cross_link)
+            ports[name] = cross_link.port
         return msgspec.structs.replace(instance, **ports)
 
     async def publish_instances(self):
-        """Publish the list, as each side sees it."""
+        """Publish each side's list of instances."""
         found = self.deployment
         for side, platform in enumerate(self.platforms):
             seen = [
-                self._far[i.name]
-                if self._far and (i.name[-1] == '1') != (side == 1)
+                self._remote_instances[i.name]
+                if self._remote_instances
+                and (i.name[-1] == '1') != (side == 1)
                 else i
                 for i in found.instances
             ]
@@ -196,7 +203,7 @@
         )
 
     async def change_versions(self, *versions):
-        """Publish new versions of all adapters, one after the other."""
+        """Publish new versions of all adapters, one after another."""
         for version in versions:
             self.versions.add(version)
             contracts = self.deployment.contracts
@@ -210,10 +217,12 @@
     def next_version(self, step=1):
         return str(int(max(self.versions)) + step)
 
-    async def in_force(self, *entries):
-        """Wait until entries know the newest contracts."""
-        for number in entries or self._left():
-            await processes.until(functools.partial(self._is_in_force, number))
+    async def wait_until_in_force(self, *entries):
+        """Wait until entries, all by default, have the newest contracts."""
+        for number in entries or self._running_entries():
+            await processes.wait_until(
+                functools.partial(self._is_in_force, number)
+            )
         if not entries:
             self.versions = {max(self.versions)}
 
@@ -228,32 +237,32 @@
                 return False
         return True
 
-    def _left(self):
-        return sorted({0, 1} - self.lost_entries)
+    def _running_entries(self):
+        return sorted({0, 1} - self.killed_entries)
 
-    def ask_all(self):
-        """Start calls of every kind, through both entries."""
+    def send_all(self):
+        """Start calls of every kind through both entries."""
         for adapter in ADAPTERS:
             for stream in (True, False):
-                self.ask(adapter, len(self.calls) % 3 % 2, stream)
-        self.ask(SERVICE, 0)
+                self.send(adapter, len(self.calls) % 3 % 2, stream)
+        self.send(SERVICE, 0)
         for entry, adapter in enumerate(('ficus', 'aloe')):
-            self.ask(adapter, entry, stream=True, key=processes.new_key())
-            self.ask(adapter, entry, key=processes.new_key())
-        self.ask(SERVICE, 1, key=processes.new_key())
+            self.send(adapter, entry, stream=True, key=processes.new_key())
+            self.send(adapter, entry, key=processes.new_key())
+        self.send(SERVICE, 1, key=processes.new_key())
 
-    def ask(self, adapter, entry, stream=False, **fields):
-        if entry in self.lost_entries:
+    def send(self, adapter, entry, stream=False, **fields):
+        if entry in self.killed_entries:
             entry = 1 - entry
         label = f'call-{next(self._labels)}'
         call = Call(label, entry, adapter, stream, self.versions, **fields)
         self._start(call)
         if call.key and self.is_sent_twice:
-            self.ask_again(call)
+            self.send_again(call)
         return call
 
-    def ask_again(self, call):
-        """Send a request once more, through the other entry."""
+    def send_again(self, call):
+        """Send a request once more through the other entry."""
         self._start(
             dataclasses.replace(
                 call, entry=1 - call.entry, request_id='', outcome='', text=''
@@ -262,11 +271,11 @@
 
     def _start(self, call):
         self.calls.append(call)
-        self.asking.append(asyncio.create_task(self._ask(call)))
+        self.pending.append(asyncio.create_task(self._call(call)))
 
-    async def _ask(self, call):
+    async def _call(self, call):
         try:
-            async with self._send(call) as response:
+            async with self._open(call) as response:
                 headers = response.headers
                 call.request_id = headers.get(work.REQUEST_ID_HEADER, '')
                 async for line in response.content:
@@ -274,10 +283,12 @@
                 outcome = headers.get(work.OUTCOME_HEADER, 'served')
         except aiohttp.ClientError:
             outcome = 'lost'
-        told = re.search(r'event: error\n.*"outcome":"([\w-]+)"', call.text)
-        call.outcome = told[1] if told else outcome
+        error_event = re.search(
+            r'event: error\n.*"outcome":"([\w-]+)"', call.text
+        )
+        call.outcome = error_event[1] if error_event else outcome
 
-    def _send(self, call):
+    def _open(self, call):
         entry = self.deployment.entries[call.entry]
         if call.adapter == SERVICE:
             return self.deployment.call_service(
@@ -293,12 +304,14 @@
             user=call.label,
         )
 
-    async def ended(self):
-        async with asyncio.timeout(2 * processes.WAIT_S):
-            await asyncio.gather(*self.asking)
+    async def wait_for_answers(self):
+        async with asyncio.timeout(2 * processes.WAIT_TIMEOUT_S):
+            await asyncio.gather(*self.pending)
 
-    async def truth(self, number):
-        return await self.deployment.truth(self.deployment.engines[number])
+    async def engine_record(self, number):
+        return await self.deployment.engine_record(
+            self.deployment.engines[number]
+        )
 
     async def report(self, number):
         engine = self.deployment.engines[number]
@@ -308,7 +321,7 @@
             return await response.json()
 
     async def metric(self, process, pattern):
-        """Return the sum of the samples that a pattern begins."""
+        """Return the sum of the samples whose lines begin with a pattern."""
         async with self.deployment.session.get(
             process.url + '/metrics'
         ) as response:
@@ -317,8 +330,11 @@
         return sum(map(float, found))
 
     @contextlib.asynccontextmanager
-    async def leaving(self, number):
-        """Hold that an engine runs nothing that is asked from now on."""
+    async def forbid_new_runs(self, number):
+        """Have `check` fail if an engine runs calls that are sent from now on.
+
+        It begins once the sidecar refuses new work.
+        """
         process = self.deployment.sidecars[number]
 
         async def is_refusing():
@@ -330,50 +346,50 @@
             except aiohttp.ClientError:
                 return True
 
-        await processes.until(is_refusing)
-        # What was asked before may run there, also if it is sent again.
+        await processes.wait_until(is_refusing)
+        # Calls from before may run there, also when they are repeated.
         before = {call.label for call in self.calls}
-        self.ask_all()
+        self.send_all()
         yield
         later = {call.label for call in self.calls} - before
-        self._barred |= {(number, label) for label in later}
+        self._forbidden_runs |= {(number, label) for label in later}
 
-    async def reach(self, step):
+    async def wait_for_step(self, step):
         """Wait until a request is at a step; return its engine's number."""
         found = []
 
         async def is_reached():
-            if all(task.done() for task in self.asking):
-                # It was passed between two looks.
-                self.ask_all()
+            if all(task.done() for task in self.pending):
+                # All calls passed the step between two polls.
+                self.send_all()
             for number in range(len(self.deployment.engines)):
-                if await self._is_at(step, number):
+                if await self._has_request_at(step, number):
                     found.append(number)
                     return True
             return False
 
-        await processes.until(is_reached)
+        await processes.wait_until(is_reached)
         return found[0]
 
-    async def _is_at(self, step, number):
+    async def _has_request_at(self, step, number):
         sidecar = self.deployment.sidecars[number]
         if step is Step.QUEUED:
             return await self.metric(sidecar, 'lacewingpitch_requests_queued')
-        asked = {
-            call.label for call in self.calls if call.max_tokens == TOKENS
+        labels = {
+            call.label for call in self.calls if call.max_tokens == TOKEN_COUNT
         }
-        truth = await self.truth(number)
-        runs = [run for run in truth.runs if label_of(run) in asked]
+        record = await self.engine_record(number)
+        runs = [run for run in record.runs if label_of(run) in labels]
         if step is Step.CLAIMED:
             begun = {run.run_id.partition('.')[0] for run in runs}
             return claimed(sidecar) - begun - self.claimed_before
         if step is Step.LOADING:
-            return truth.loading
+            return record.loading
         if step is Step.SENT:
             return any(not run.finished for run in runs)
         if step is Step.BEFORE_DELIVERY:
             return any(run.finished for run in runs)
-        wanted = 1 if step is Step.FIRST_TOKEN else CUT_AT // 2
+        wanted = 1 if step is Step.FIRST_TOKEN else CUT_AFTER_EVENTS // 2
         open_runs = {run.run_id for run in runs if not run.finished}
         return any(
             (run_id, wanted - 1) in call.tokens()
@@ -381,21 +397,23 @@
             for run_id in open_runs
         )
 
-    async def recover(self):
-        """Wait until all is served again through each entry left."""
-        await self.serve((*ADAPTERS, SERVICE), *self._left(), has_keys=True)
+    async def wait_until_recovered(self):
+        """Wait until every entry that is left serves everything again."""
+        await self.wait_until_served(
+            (*ADAPTERS, SERVICE), *self._running_entries(), has_keys=True
+        )
         self.claimed_before = set().union(
             *map(claimed, self.deployment.sidecars)
         )
 
-    async def serve(self, names, *entries, has_keys=False):
-        """Wait until each of these is served through these entries."""
+    async def wait_until_served(self, names, *entries, has_keys=False):
+        """Wait until each of some names is served through some entries."""
         unserved = {}
         try:
-            async with asyncio.timeout(processes.WAIT_S):
+            async with asyncio.timeout(processes.WAIT_TIMEOUT_S):
                 await asyncio.gather(
                     *(
-                        self._served(name, entry, has_keys, unserved)
+                        self._wait_until_whole(name, entry, has_keys, unserved)
                         for name in names
                         for entry in entries
                     )
@@ -403,46 +421,46 @@
         except TimeoutError as error:
             raise AssertionError(f'never served: {unserved}') from error
 
-    async def _served(self, name, entry, has_keys, unserved):
-        """Ask until it is served, and keep what came last in `unserved`."""
+    async def _wait_until_whole(self, name, entry, has_keys, unserved):
+        """Call until an answer is whole; keep the last one in `unserved`."""
         has_key = has_keys and ADAPTERS.get(name) != 'again'
         while True:
             key = processes.new_key() if has_key else ''
-            call = self.ask(name, entry, key=key, max_tokens=FEW_TOKENS)
-            await self.asking[-1]
+            call = self.send(name, entry, key=key, max_tokens=FEW_TOKEN_COUNT)
+            await self.pending[-1]
             if call.is_whole():
                 unserved.pop((name, entry), None)
                 return
             unserved[name, entry] = (call.outcome, call.text[:200])
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def check(self):
-        """Hold what every caller got against the engines' truth."""
+        """Check every answer against the runs on the backend servers."""
         runs = collections.defaultdict(list)
         for number in range(len(self.deployment.engines)):
 
             async def idle(number=number):
                 return (await self.report(number))['running'] == 0
 
-            await processes.until(idle)
-            truth = await self.truth(number)
-            assert not truth.evictions_under_run
-            for run in truth.runs:
+            await processes.wait_until(idle)
+            record = await self.engine_record(number)
+            assert not record.evictions_under_run
+            for run in record.runs:
                 label = label_of(run)
-                assert (number, label) not in self._barred
+                assert (number, label) not in self._forbidden_runs
                 runs[label].append(run)
         service = self.deployment.services[0]
-        for run in await self.deployment.service_truth(service):
+        for run in await self.deployment.service_runs(service):
             runs[run.body.decode()].append(run)
-        sendings = collections.defaultdict(list)
+        calls_by_label = collections.defaultdict(list)
         for call in self.calls:
-            sendings[call.label].append(call)
-        assert runs.keys() <= sendings.keys()
-        for label, calls in sendings.items():
-            self._check_sendings(calls, runs[label])
+            calls_by_label[call.label].append(call)
+        assert runs.keys() <= calls_by_label.keys()
+        for label, calls in calls_by_label.items():
+            self._check_request(calls, runs[label])
         await self._check_account()
 
-    def _check_sendings(self, calls, runs):
+    def _check_request(self, calls, runs):
         first = calls[0]
         is_service = first.adapter == SERVICE
         if first.key or is_service or ADAPTERS[first.adapter] == 'once':
@@ -478,7 +496,7 @@
 
     async def _check_account(self):
         pattern = r'lacewingpitch_requests_ended_total\{[^\n]*'
-        for number in self._left():
+        for number in self._running_entries():
             entry = self.deployment.entries[number]
             own = [call for call in self.calls if call.entry == number]
             whole = sum(call.is_whole() for call in own)
@@ -497,7 +515,7 @@
 
 
 def claimed(sidecar):
-    """Return the requests whose claim a sidecar has completed."""
+    """Return the IDs of the requests that a sidecar has claimed."""
     return {
         line['request_id']
         for line in sidecar.log
--- a/tests/clocks.py
+++ b/tests/clocks.py
@@ -1,17 +1,17 @@
-"""Clocks that tests move."""
+"""A clock that tests set by hand."""
 
 WALL_START_S = 1_800_000_000.0
 
 
 class ManualClock:
-    """Time that passes when a test says so.
+    """A clock whose time changes only when a test changes it.
 
     Parameters
     ----------
     now_s
-        Where the monotonic clock begins.
+        Initial time of the monotonic clock, in seconds.
     wall_offset_s
-        What the wall clock is ahead of it.
+        Difference of the wall clock to the monotonic clock, in seconds.
     """
 
     def __init__(self, now_s=0.0, wall_offset_s=0.0):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for every test."""
+"""Fixtures and settings of all tests, and the list of known failures."""
 
 import hypothesis
 import pytest
@@ -6,8 +6,8 @@
 from lacewingpitch import cli
 from tests import known_red
 
-# The same examples in each run, so that the verdict is the same; and no
-# deadline, since the machine may be busy.
+# Every run takes the same examples, so that its result is reproducible.
+# There is no deadline, since the machine may be busy.
 hypothesis.settings.register_profile(
     'repeatable',
     derandomize=True,
@@ -17,36 +17,36 @@
 hypothesis.settings.load_profile('repeatable')
 pytest_plugins = ['pytester']
 
-_LISTED = pytest.StashKey()
+_KNOWN_FAILURES = pytest.StashKey()
 
 
 @pytest.fixture(autouse=True)
 def logs():
-    """Write logs as the daemons do."""
+    """Configure logging as the daemons do."""
     cli.configure_logs('info')
 
 
 def pytest_configure(config):
-    """Read the list of known failures; a malformed one ends the run."""
+    """Read the list of known failures; a malformed list aborts the run."""
     try:
         listed = known_red.load()
     except known_red.MalformedError as error:
         raise pytest.UsageError(f'{known_red.PAGE.name}: {error}') from error
-    config.stash[_LISTED] = {line.test: line for line in listed}
+    config.stash[_KNOWN_FAILURES] = {line.test: line for line in listed}
 
 
 def pytest_collection_modifyitems(config, items):
-    """Let the listed tests fail, and no others."""
+    """Mark the listed tests as expected failures."""
     for item in items:
-        line = config.stash[_LISTED].get(item.nodeid)
+        line = config.stash[_KNOWN_FAILURES].get(item.nodeid)
         if line is not None:
             reason = f'{line.cause} (issue {line.issue})'
             item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    """Print what is listed, with how it went."""
-    listed = config.stash[_LISTED]
+    """Print the result of each listed test."""
+    listed = config.stash[_KNOWN_FAILURES]
     if not listed:
         return
     failed = {r.nodeid for r in terminalreporter.getreports('xfailed')}
--- a/tests/deploy_check.py
+++ b/tests/deploy_check.py
@@ -1,4 +1,4 @@
-"""Builds as the deploy file says, and starts its programs with that alone."""
+"""Checks the deploy file: its build, and that its programs start with it."""
 
 import os
 import subprocess
@@ -20,7 +20,8 @@
     }
     for name, role in deploy['roles'].items():
         program, *arguments = role['run'].split()
-        # Without settings it says so, after all its imports.
+        # Without settings the program imports everything, and then exits
+        # with this error.
         found = subprocess.run(
             [program, *arguments],
             cwd=ROOT,
--- a/tests/fake_sidecars.py
+++ b/tests/fake_sidecars.py
@@ -1,4 +1,4 @@
-"""A real dispatcher before fake sidecars that answer as told."""
+"""A real dispatcher with fake sidecars whose answers tests set."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,11 @@
 
 
 class FakeSidecar:
-    """Answers every request as told, and counts them."""
+    """Answers every request as the test sets it, and keeps its order.
+
+    `kinds` are the errors of the next answers, one each; then `kind`
+    applies, where ``None`` is a success.
+    """
 
     def __init__(self, signer):
         self._signer = signer
@@ -63,10 +67,10 @@
 
 
 class FakePeers:
-    """Control links that reply as told; silent by default.
+    """Control links with given replies; they do not reply by default.
 
-    `replies` are states, or ``None`` for no reply, one for each question;
-    the last one stays.
+    `replies` are run states, or ``None`` for no reply, one for each
+    message; the last one applies to all later messages.
     """
 
     def __init__(self):
@@ -89,8 +93,8 @@
         return kind(cancelled=False)
 
 
-class Bench:
-    """A dispatcher before three fake sidecars."""
+class DispatchBench:
+    """A dispatcher with three fake sidecars."""
 
     def __init__(self, sidecars, dispatcher, peers):
         self.sidecars = sidecars
@@ -98,12 +102,12 @@
         self.peers = peers
 
     def hold(self, sidecar):
-        """Keep a sidecar from answering; return what lets it go on."""
+        """Keep a sidecar from answering until the returned event is set."""
         sidecar.held = asyncio.Event()
         return sidecar.held
 
-    def asked_sidecar(self):
-        """Return the sidecar that got the first request."""
+    def first_called_sidecar(self):
+        """Return the first sidecar that got a request."""
         return next(s for s in self.sidecars if s.orders)
 
     @property
@@ -111,10 +115,12 @@
         return sum(len(sidecar.orders) for sidecar in self.sidecars)
 
     def fail_with(self, kind):
+        """Have all sidecars answer with an error."""
         for sidecar in self.sidecars:
             sidecar.kind = kind
 
-    def fail_in_turn(self, first, later):
+    def fail_once_then(self, first, later):
+        """Have the first answer of any sidecar be an error, then another."""
         self.fail_with(later)
         kinds = [first]
         for sidecar in self.sidecars:
@@ -168,4 +174,4 @@
             places,
             ejector,
         )
-        yield Bench(sidecars, dispatcher, peers)
+        yield DispatchBench(sidecars, dispatcher, peers)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of a small deployment, to be killed, frozen and cut."""
+"""A small deployment of real processes that tests kill, freeze and cut off."""
 
 import asyncio
 import contextlib
@@ -25,14 +25,16 @@
 from lacewingpitch import voiding
 
 IP = '127.0.0.1'
-START_S = 30.0
-WAIT_S = 30.0
-POLL_S = 0.02
+START_TIMEOUT_S = 30.0
+WAIT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.02
 ROOT = pathlib.Path(__file__).parents[1]
 PROGRAM = 'from lacewingpitch import cli; cli.main()'
-PREVIOUS = 'from tests import other_versions; other_versions.run_previous()'
-NEXT = 'from tests import other_versions; other_versions.run_next()'
-# For tests in which no refusal is wanted, however fast they call.
+PREVIOUS_PROGRAM = (
+    'from tests import other_versions; other_versions.run_previous()'
+)
+NEXT_PROGRAM = 'from tests import other_versions; other_versions.run_next()'
+# Limits that no test reaches, however fast it calls.
 WIDE_LIMITS = contract.Limits(
     requests_per_s=1e6,
     burst_requests=10**6,
@@ -43,7 +45,10 @@
 
 
 class Process:
-    """One real process that tells its ports in its first log lines."""
+    """A daemon as a child process.
+
+    It logs the ports that it listens on as it starts.
+    """
 
     def __init__(self, *arguments, program=PROGRAM, cwd=None):
         self.arguments = arguments
@@ -54,10 +59,10 @@
 
     async def start(self):
         await self.spawn()
-        return await self.listening()
+        return await self.wait_until_listening()
 
     async def spawn(self):
-        """Start it without waiting until it listens."""
+        """Start the process without waiting until it listens."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-c',
@@ -70,8 +75,9 @@
         self._listening = asyncio.Event()
         self._reading = asyncio.create_task(self._read_log(self._listening))
 
-    async def listening(self):
-        async with asyncio.timeout(START_S):
+    async def wait_until_listening(self):
+        """Wait until the process has logged its ports."""
+        async with asyncio.timeout(START_TIMEOUT_S):
             await self._listening.wait()
         if not self.ports:
             raise RuntimeError(f'did not start: {self.log}')
@@ -101,19 +107,23 @@
         return any(entry['event'] == event for entry in self.log)
 
     def freeze(self):
+        """Suspend the process with SIGSTOP."""
         os.kill(self._process.pid, signal.SIGSTOP)
 
-    def wake(self):
+    def resume(self):
+        """Let a frozen process go on."""
         os.kill(self._process.pid, signal.SIGCONT)
 
     def terminate(self):
         self._process.terminate()
 
-    async def exited(self):
-        async with asyncio.timeout(WAIT_S):
+    async def wait_for_exit(self):
+        """Return the exit code once the process has ended."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self._process.wait()
 
     async def kill(self):
+        """Kill the process, and read its log to the end."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
         await self._process.wait()
@@ -121,11 +131,14 @@
 
 
 class Deployment:
-    """Stand-ins, sidecars and entry instances, each a real process."""
+    """Stand-ins, sidecars and entry instances, each a process of its own.
+
+    Use it as an async context; it kills all processes at its end.
+    """
 
     def __init__(self, folder: pathlib.Path):
         self._folder = folder
-        # The folder whose code the processes started next run.
+        # The folder with the code of the processes that are started next.
         self.cwd = ROOT
         self._exits = contextlib.AsyncExitStack()
         self.secret = secrets.token_hex()
@@ -137,7 +150,8 @@
         self.contracts = {}
         self.shard_revision = 0
         self.keys = {}
-        # What is started from now on, this version or the next.
+        # The release of the processes that are started next: this one, or one
+        # of `tests.other_versions`.
         self.program = PROGRAM
 
     async def __aenter__(self):
@@ -151,9 +165,10 @@
         await self._exits.aclose()
 
     async def run(self, *arguments):
-        return await self._start(self._new(*arguments))
+        """Start a process with some arguments, and return it."""
+        return await self._start(self._new_process(*arguments))
 
-    def _new(self, *arguments):
+    def _new_process(self, *arguments):
         return Process(*arguments, program=self.program, cwd=self.cwd)
 
     async def _start(self, process):
@@ -161,14 +176,14 @@
         return await process.start()
 
     async def start_engine(self, *options):
-        """Start a stand-in engine alone."""
-        engine = self._new('standin', 'engine', *options)
+        """Start a stand-in engine without a sidecar."""
+        engine = self._new_process('standin', 'engine', *options)
         self.engines.append(engine)
         return await self._start(engine)
 
     async def start_service(self, *options):
-        """Start a stand-in service alone."""
-        service = self._new('standin', 'service', *options)
+        """Start a stand-in service without a sidecar."""
+        service = self._new_process('standin', 'service', *options)
         self.services.append(service)
         return await self._start(service)
 
@@ -180,7 +195,7 @@
         max_running=16,
         **fields,
     ):
-        """Start a stand-in engine and the sidecar beside it."""
+        """Start a stand-in engine and its sidecar."""
         engine = await self.start_engine(*options)
         port = engine.ports['work_port']
         return await self.add_sidecar(
@@ -194,7 +209,7 @@
         )
 
     async def add_service(self, *options, **fields):
-        """Start a stand-in service and the sidecar beside it."""
+        """Start a stand-in service and its sidecar."""
         service = await self.start_service(*options)
         port = service.ports['work_port']
         return await self.add_sidecar(
@@ -208,31 +223,39 @@
 
     async def add_sidecar(self, backend_server, **fields):
         name = f'sidecar-{len(self.sidecars)}'
-        found = settings.SidecarSettings(
-            **self._process(name, **fields), backend_server=backend_server
+        process_settings = settings.SidecarSettings(
+            **self._make_settings(name, **fields),
+            backend_server=backend_server,
+        )
+        process = self._new_process(
+            'sidecar', self._write_settings(name, process_settings)
         )
-        process = self._new('sidecar', self._write(name, found))
         self.sidecars.append(process)
-        return await self._join(
+        return await self._start_listed(
             process,
-            found,
+            process_settings,
             role=live_list.Role.SIDECAR,
             serves=getattr(backend_server, 'base_model', 'plain'),
         )
 
     async def spawn_successor(self, number):
-        """Start the sidecar that takes the place of another one.
+        """Start the sidecar that replaces another one.
 
-        It has the same settings, ports and backend server; return it
-        before it listens, since the old process may hold the port.
+        It has the same settings, ports and backend server.  It is
+        returned before it listens, since the old process may still hold
+        the port.
         """
         old = self.sidecars[number]
         path = self._folder / f'sidecar-{number}.json'
-        found = settings.load_settings(path, settings.SidecarSettings)
+        process_settings = settings.load_settings(
+            path, settings.SidecarSettings
+        )
         path.write_bytes(
-            msgspec.json.encode(msgspec.structs.replace(found, **old.ports))
+            msgspec.json.encode(
+                msgspec.structs.replace(process_settings, **old.ports)
+            )
         )
-        process = self._new('sidecar', str(path))
+        process = self._new_process('sidecar', str(path))
         await process.spawn()
         self._exits.push_async_callback(process.kill)
         self.sidecars[number] = process
@@ -240,21 +263,28 @@
 
     async def add_entry(self, **fields):
         name = f'entry-{len(self.entries)}'
-        found = settings.EntrySettings(**self._process(name, **fields))
-        process = self._new('entry', self._write(name, found))
+        process_settings = settings.EntrySettings(
+            **self._make_settings(name, **fields)
+        )
+        process = self._new_process(
+            'entry', self._write_settings(name, process_settings)
+        )
         self.entries.append(process)
-        return await self._join(process, found, role=live_list.Role.ENTRY)
+        return await self._start_listed(
+            process, process_settings, role=live_list.Role.ENTRY
+        )
 
-    async def _join(self, process, found, **fields):
-        """Start a process of some settings, and list it."""
-        # Those that start together keep the order of the calls.
+    async def _start_listed(self, process, process_settings, **fields):
+        """Start a process, and add it to the list of instances."""
+        # Processes that start concurrently are listed in the order of the
+        # calls.
         number = len(self.instances)
         self.instances.append(None)
         await self._start(process)
         self.instances[number] = live_list.Instance(
-            name=found.instance,
-            region=found.region,
-            availability_zone=found.availability_zone,
+            name=process_settings.instance,
+            region=process_settings.region,
+            availability_zone=process_settings.availability_zone,
             ip=IP,
             work_port=process.ports['work_port'],
             control_port=process.ports['control_port'],
@@ -262,7 +292,7 @@
         )
         return process
 
-    def _process(self, name, **fields):
+    def _make_settings(self, name, **fields):
         port = self.platform.ports['work_port']
         platform = settings.Address(ip=IP, port=port)
         defaults = {
@@ -279,9 +309,9 @@
         }
         return defaults | fields
 
-    def _write(self, name, found):
+    def _write_settings(self, name, process_settings):
         path = self._folder / f'{name}.json'
-        path.write_bytes(msgspec.json.encode(found))
+        path.write_bytes(msgspec.json.encode(process_settings))
         return str(path)
 
     async def put(self, process, path, value):
@@ -294,7 +324,7 @@
         await self.put(self.platform, '/v1/instances', tuple(self.instances))
 
     def add_customer(self, customer, *adapters, **fields):
-        """Write a contract; `publish_contracts` puts it in force."""
+        """Create a contract; `publish_contracts` puts it in force."""
         self.keys[customer] = secrets.token_hex()
         self.contracts[customer] = contract.Contract(
             customer=customer,
@@ -310,7 +340,7 @@
         )
 
     async def publish_contracts(self, platform=None, contracts=None):
-        """Publish contracts, all of them and at `platform` by default."""
+        """Publish contracts; all of them, on `platform`, by default."""
         self.shard_revision += 1
         revision = self.shard_revision
         platform = platform or self.platform
@@ -326,30 +356,33 @@
             {'shards': [{'name': 'contracts.0', 'revision': revision}]},
         )
 
-    async def until_known(self, process, customer, revision):
-        """Wait until a process knows a revision, by asking it as a peer."""
+    async def wait_for_revision(self, process, customer, revision):
+        """Wait until a process has a revision of a customer's contract.
+
+        It is asked by control messages, as a peer.
+        """
         signer = link.MessageSigner('test', self.secret, 'test')
         peer = link.Peer(signer, IP, process.ports['control_port'])
         request = contract_gossip.ContractsRequest(customers=(customer,))
 
         async def is_known():
             reply = await peer.ask(
-                request, contract_gossip.ContractsReply, WAIT_S
+                request, contract_gossip.ContractsReply, WAIT_TIMEOUT_S
             )
             return reply.versions[0].version.revision >= revision
 
         with contextlib.closing(peer):
-            await until(is_known)
+            await wait_until(is_known)
 
     async def publish(self):
         """Publish instances and contracts, and wait for the entries."""
         await self.publish_instances()
         await self.publish_contracts()
         for entry in self.entries:
-            await self.ready(entry)
+            await self.wait_until_ready(entry)
 
-    async def ready(self, process):
-        await until(lambda: self._answers_200(process, '/readyz'))
+    async def wait_until_ready(self, process):
+        await wait_until(lambda: self._answers_200(process, '/readyz'))
 
     async def _answers_200(self, process, path):
         async with self.session.get(process.url + path) as response:
@@ -361,25 +394,31 @@
         ) as response:
             assert response.status == 200
 
-    async def promises(self, instance):
-        """Return whether a sidecar, being new, promises not to run."""
+    async def voids_unknown_attempt(self, instance):
+        """Return whether a sidecar voids an attempt that it does not know.
+
+        It refuses to for a while after its start, since an earlier process
+        may have run the attempt.
+        """
         signer = link.MessageSigner('test', self.secret, 'entry-0')
         attempt_id = voiding.attempt_id(new_key(), 1)
         with contextlib.closing(link.PeerPool(signer)) as peers:
             reply = await peers.peer(instance.ip, instance.control_port).ask(
                 voiding.VoidRequest(attempt_id=attempt_id),
                 voiding.VoidReply,
-                WAIT_S,
+                WAIT_TIMEOUT_S,
             )
         return reply.state is ledger.RunState.VOID
 
-    async def truth(self, engine):
+    async def engine_record(self, engine):
+        """Return what a stand-in engine has run and loaded."""
         async with self.session.get(engine.url + '/truth') as response:
             return msgspec.json.decode(
                 await response.read(), type=standin_engine.EngineRecord
             )
 
-    async def service_truth(self, service):
+    async def service_runs(self, service):
+        """Return what a stand-in service has run."""
         async with self.session.get(service.url + '/truth') as response:
             return msgspec.json.decode(
                 await response.read(),
@@ -389,7 +428,7 @@
     def call_service(
         self, entry, customer, path, *, method='POST', data=b'', key=''
     ):
-        """Send a call to the plain service; use as an async context."""
+        """Send a request to the plain service; use as an async context."""
         return self.session.request(
             method,
             f'{entry.url}/services/plain/{path}',
@@ -398,7 +437,7 @@
         )
 
     def call(self, entry, customer, adapter, *, key='', **fields):
-        """Send a completion; use as an async context."""
+        """Send a completion request; use as an async context."""
         return self.session.post(
             entry.url + '/v1/chat/completions',
             json={'model': adapter, 'messages': [], **fields},
@@ -412,13 +451,13 @@
         return headers
 
 
-async def until(predicate, timeout_s=WAIT_S):
-    """Wait for a condition instead of for a time."""
+async def wait_until(predicate, timeout_s=WAIT_TIMEOUT_S):
+    """Wait until a condition holds, instead of for a fixed time."""
     async with asyncio.timeout(timeout_s):
         while not await predicate():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def new_key():
-    """Return an idempotency key made now."""
+    """Return an idempotency key with the current time."""
     return str(uuid.UUID(str(uuid_utils.uuid7())))
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that cuts, stalls and delays what passes through it."""
+"""A TCP relay that tests use to cut, stall and delay connections."""
 
 import asyncio
 import contextlib
@@ -9,30 +9,31 @@
 
 
 class Relay:
-    """Passes connections on to one address, until told otherwise.
+    """Forwards connections to one address, with faults on request.
 
-    Bytes that are stalled are kept, as TCP keeps them by sending again:
+    Bytes that are stalled are kept, as TCP keeps them by retransmission:
     they arrive when the link heals.  Use it as an async context.
 
-    `wait_for(text)` says when a message to the target arrives here that
-    has some text in it, held back or not.
+    `wait_for(text)` gives an event that is set when data that contains
+    some text arrives on its way to the target, held back or not.
 
-    With `loses_ends` the target is not told that a caller has closed its
-    connection, as where the end of it is lost on the way.
+    With `drops_close` the target does not learn that a caller has closed
+    its connection, as if the FIN were lost on the way.
 
-    `cut_after_bytes` breaks each of the next connections when so many
-    bytes of the answer have passed; one number for each connection.
+    `cut_after_bytes` holds one limit for each of the next connections:
+    every connection is reset when more bytes of that one's answer have
+    arrived.
     """
 
     def __init__(self, port, ip=IP, listen_ip=IP):
         self._target = (ip, port)
         self.ip = listen_ip
         self.delay_s = 0.0
-        self.loses_ends = False
+        self.drops_close = False
         self.cut_after_bytes = []
         self.connection_count = 0
-        self._towards = asyncio.Event()
-        self._back = asyncio.Event()
+        self._target_gate = asyncio.Event()
+        self._caller_gate = asyncio.Event()
         self._writers = set()
         self._tasks = set()
         self._server = None
@@ -41,9 +42,9 @@
 
     async def __aenter__(self):
         self.heal()
-        # While the link is cut nobody listens, and without this any
-        # other connection could take the port that `mend` needs again.
-        self._held = _bound(self.ip, 0)
+        # While the link is cut, no socket listens.  Without this one, any
+        # other connection could get the port that `reopen` needs.
+        self._held = _bind(self.ip, 0)
         self.port = self._held.getsockname()[1]
         await self._listen()
         return self
@@ -54,7 +55,7 @@
 
     async def _listen(self):
         self._server = await asyncio.start_server(
-            self._serve, sock=_bound(self.ip, self.port)
+            self._serve, sock=_bind(self.ip, self.port)
         )
 
     async def cut(self):
@@ -68,43 +69,46 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def reset(self):
-        """Reset every connection, and go on taking new ones."""
+        """Reset every connection, and go on accepting new ones."""
         for writer in self._writers:
             writer.transport.abort()
 
-    async def mend(self):
-        """Take connections again after `cut`."""
+    async def reopen(self):
+        """Accept connections again after `cut`."""
         self.heal()
         if self._server is None:
             await self._listen()
 
     def half_open(self):
-        """Keep connections, and take new ones, but pass nothing on."""
-        self._towards.clear()
-        self._back.clear()
+        """Keep connections, and accept new ones, but forward nothing."""
+        self._target_gate.clear()
+        self._caller_gate.clear()
 
-    def stall(self):
-        """Pass nothing on in the present connections, now or later."""
+    def stall_open_connections(self):
+        """Forward nothing on the present connections, now or later.
+
+        New connections work.
+        """
         self.half_open()
-        self._towards = asyncio.Event()
-        self._back = asyncio.Event()
+        self._target_gate = asyncio.Event()
+        self._caller_gate = asyncio.Event()
         self.heal()
 
     def one_way(self):
-        """Pass on what goes to the target, and hold what comes back."""
-        self._towards.set()
-        self._back.clear()
+        """Forward what goes to the target, and hold back its answers."""
+        self._target_gate.set()
+        self._caller_gate.clear()
 
     def heal(self):
-        """Pass everything on, also what was held."""
-        self._towards.set()
-        self._back.set()
+        """Forward everything, including what was held back."""
+        self._target_gate.set()
+        self._caller_gate.set()
 
     def wait_for(self, text):
-        """Return an event that is set once some text arrives here."""
+        """Return an event that is set once some bytes arrive here."""
         return self._awaited.setdefault(text, asyncio.Event())
 
-    def _note(self, data):
+    def _record(self, data):
         for text, event in self._awaited.items():
             if text in data:
                 event.set()
@@ -113,37 +117,38 @@
         self._writers.add(writer)
         self._tasks.add(asyncio.current_task())
         self.connection_count += 1
-        towards, back = self._towards, self._back
+        target_gate, caller_gate = self._target_gate, self._caller_gate
         limit = self.cut_after_bytes.pop(0) if self.cut_after_bytes else None
         try:
-            held = await self._hold(reader, towards)
-            there = await asyncio.open_connection(*self._target)
-            self._writers.add(there[1])
-            there[1].write(held)
+            held = await self._wait_until_open(reader, target_gate)
+            target = await asyncio.open_connection(*self._target)
+            self._writers.add(target[1])
+            target[1].write(held)
             await asyncio.gather(
-                self._pump_towards(reader, there[1], towards),
-                self._pump_back(there[0], writer, back, limit),
+                self._pump_to_target(reader, target[1], target_gate),
+                self._pump_to_caller(target[0], writer, caller_gate, limit),
             )
         except (OSError, asyncio.CancelledError):
-            # Streams of this version log a task that ends as cancelled.
+            # The cancellation is not raised again, since asyncio streams of
+            # Python 3.11 log a handler task that ends as cancelled.
             writer.transport.abort()
         finally:
             self._tasks.discard(asyncio.current_task())
             self._writers.discard(writer)
             writer.close()
 
-    async def _pump_towards(self, reader, writer, is_open):
+    async def _pump_to_target(self, reader, writer, is_open):
         with contextlib.closing(writer):
             while data := await reader.read(_CHUNK_BYTES):
-                self._note(data)
+                self._record(data)
                 await asyncio.sleep(self.delay_s)
-                data += await self._hold(reader, is_open)
+                data += await self._wait_until_open(reader, is_open)
                 writer.write(data)
                 await writer.drain()
-            if self.loses_ends:
+            if self.drops_close:
                 await writer.wait_closed()
 
-    async def _pump_back(self, reader, writer, is_open, limit):
+    async def _pump_to_caller(self, reader, writer, is_open, limit):
         passed = 0
         with contextlib.closing(writer):
             while data := await reader.read(_CHUNK_BYTES):
@@ -156,7 +161,7 @@
                 writer.write(data)
                 await writer.drain()
 
-    async def _hold(self, reader, is_open):
+    async def _wait_until_open(self, reader, is_open):
         """Wait until the link is open; return what arrived meanwhile."""
         if not self._awaited:
             await is_open.wait()
@@ -173,14 +178,14 @@
                     task.cancel()
             if tasks[0].done() and not tasks[0].cancelled():
                 held += tasks[0].result()
-                self._note(held)
+                self._record(held)
             if reader.at_eof():
                 await is_open.wait()
         return held
 
 
-def _bound(ip, port):
-    """Return a socket of a port that only sockets like it can share."""
+def _bind(ip, port):
+    """Return a socket on a port that only SO_REUSEPORT sockets can share."""
     found = socket.socket()
     found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     found.bind((ip, port))
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,4 +1,4 @@
-"""Small valid settings, contracts, orders and instances for tests."""
+"""Minimal valid settings, contracts, orders and instances for tests."""
 
 import copy
 
@@ -51,7 +51,7 @@
 
 
 def order(**fields):
-    """Return an order of an entry for a backend server."""
+    """Return an order that an entry sends to a sidecar."""
     defaults = {
         'request_id': 'request-1',
         'attempt': 1,
--- a/tests/sides.py
+++ b/tests/sides.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes in two sides, joined by relays."""
+"""A fleet of real processes on two sides that relays connect."""
 
 import contextlib
 
@@ -13,19 +13,19 @@
 class Sides:
     """Two sides of a fleet, each with its own platform and entries.
 
-    Each side's list leads to the other side through relays.  Use it as
-    an async context.
+    The list of each side gives the addresses of relays for the instances
+    of the other side.  Use it as an async context.
 
     Parameters
     ----------
     zones
-        The zone of each sidecar, a letter each.
+        The zones of the sidecars, one letter for each sidecar.
     left_count
-        How many of the sidecars are on the left.
+        Number of sidecars on side 0, the left one.
     entries
         The side and the zone of each entry.
     joins_entries
-        Whether each side's list names the other side's entries.
+        Whether each side's list contains the other side's entries.
     own_config
         Whether each side reads contracts from its own platform.
     entry_fields, fields
@@ -58,7 +58,7 @@
         self._entry_fields = dict(entry_fields)
         self._engine_options = engine_options
         self._fields = fields
-        self._across = {}
+        self._remote_ports = {}
         self._exits = contextlib.AsyncExitStack()
 
     async def __aenter__(self):
@@ -82,7 +82,7 @@
         for side in range(2 if self._own_config else 1):
             await self.publish_contracts(side)
         for entry in found.entries:
-            await found.ready(entry)
+            await found.wait_until_ready(entry)
         return self
 
     async def __aexit__(self, *exception):
@@ -97,7 +97,7 @@
         return found
 
     async def add_entry(self, side, zone):
-        """Start another entry; `publish` lists it."""
+        """Start another entry; `publish` adds it to the lists."""
         self._entry_sides.append(side)
         return await self.deployment.add_entry(
             availability_zone=f'zone-{zone}',
@@ -106,7 +106,7 @@
         )
 
     async def publish_contracts(self, side):
-        """Publish what `published` names for one side."""
+        """Publish the contracts in `published` for one side."""
         await self.deployment.publish_contracts(
             self.platforms[side], self.published[side]
         )
@@ -122,29 +122,29 @@
         ]
 
     async def publish(self, state):
-        """Publish both lists; the other side is said to be in a state."""
+        """Publish both lists, with the other side's instances in a state."""
         for side, platform in enumerate(self.platforms):
             listed = [
                 found
                 for instance in self.deployment.instances
-                if (found := await self._seen(instance, side, state))
+                if (found := await self._instance_for(instance, side, state))
             ]
             await self.deployment.put(platform, '/v1/instances', tuple(listed))
 
-    async def _seen(self, instance, side, state):
-        """Return an instance as one side's list names it, if it does."""
+    async def _instance_for(self, instance, side, state):
+        """Return an instance as one side lists it, or ``None``."""
         if self._side(instance) == side:
             return instance
         is_entry = instance.role is live_list.Role.ENTRY
         if is_entry and not self._joins_entries:
             return None
-        if instance.name not in self._across:
-            self._across[instance.name] = {
+        if instance.name not in self._remote_ports:
+            self._remote_ports[instance.name] = {
                 name: await self._relay(getattr(instance, name))
                 for name in ('work_port', 'control_port')
             }
         return msgspec.structs.replace(
-            instance, state=state, **self._across[instance.name]
+            instance, state=state, **self._remote_ports[instance.name]
         )
 
     def _side(self, instance):
@@ -159,7 +159,14 @@
         return made.port
 
     async def split(self, how):
-        """Let nothing, or one way only, pass between the sides."""
+        """Cut the links between the sides.
+
+        Parameters
+        ----------
+        how
+            ``cut`` refuses connections, ``half-open`` keeps them and
+            forwards nothing, anything else forwards one way only.
+        """
         for link in self.relays:
             if how == 'cut':
                 await link.cut()
@@ -169,6 +176,6 @@
                 link.one_way()
 
     async def heal(self):
-        """Let everything pass again, also what was held."""
+        """Forward everything again, including what was held back."""
         for link in self.relays:
-            await link.mend()
+            await link.reopen()
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -42,7 +42,7 @@
     link = scene.platform.relays[target]
     await link.cut()
     await asyncio.sleep(for_s)
-    await link.mend()
+    await link.reopen()
 
 
 async def silence(scene, target, for_s):
--- a/tests/test_account_processes.py
+++ b/tests/test_account_processes.py
@@ -94,7 +94,7 @@
     async def has_no_gaps():
         return not (await read_report(deployment, entry)).gaps
 
-    await processes.until(has_no_gaps)
+    await processes.wait_until(has_no_gaps)
     return await read_report(deployment, entry)
 
 
@@ -169,7 +169,9 @@
         ]
         await callers.keep_calling(first, 10)
         for entry in lost:
-            await processes.until(lambda e=entry: some_are_copied(callers, e))
+            await processes.wait_until(
+                lambda e=entry: some_are_copied(callers, e)
+            )
         lost = lost[-lost_count:]
         for entry in lost:
             await entry.kill()
@@ -183,7 +185,7 @@
         for task in calling[:-lost_count]:
             task.cancel()
             await asyncio.wait([task])
-        await processes.until(are_copied)
+        await processes.wait_until(are_copied)
         report = await read_report(deployment, first)
         names = ['entry-1', 'entry-2'][-lost_count:]
         assert sorted(gap.instance for gap in report.gaps) == names
@@ -230,7 +232,7 @@
             for entry in entries:
                 await callers.keep_calling(entry, 5)
             for entry in entries:
-                await processes.until(
+                await processes.wait_until(
                     lambda e=entry: some_are_copied(callers, e)
                 )
             await sides.split(how)
@@ -253,7 +255,9 @@
                 return [g.instance for g in report.gaps] == ['entry-3']
 
             for entry in entries[:3]:
-                await processes.until(lambda e=entry: reaches_the_others(e))
+                await processes.wait_until(
+                    lambda e=entry: reaches_the_others(e)
+                )
                 report = await read_report(deployment, entry)
                 certain = check_against_gaps(report, callers)
                 alive = callers.counts(lambda _, e: e is not entries[3])
@@ -278,7 +282,7 @@
         report = await read_report(deployment, deployment.entries[0])
         assert [gap.instance for gap in report.gaps] == ['entry-1']
         check_against_gaps(report, callers)
-        frozen.wake()
+        frozen.resume()
         report = await read_report_without_gaps(
             deployment, deployment.entries[0]
         )
@@ -292,7 +296,7 @@
         for entry in deployment.entries:
             await callers.keep_calling(entry, 5)
         deployment.entries[2].terminate()
-        assert await deployment.entries[2].exited() == 0
+        assert await deployment.entries[2].wait_for_exit() == 0
         del deployment.instances[-1]
         await deployment.publish_instances()
         report = await read_report_without_gaps(
@@ -333,7 +337,7 @@
                 'answer-cut': 1
             }
 
-        await processes.until(are_counted)
+        await processes.wait_until(are_counted)
 
 
 class TestOneCustomer:
@@ -365,7 +369,7 @@
         async def lines():
             return [x for x in entry.log if x['event'] == 'answered']
 
-        await processes.until(lines)
+        await processes.wait_until(lines)
         line = (await lines())[0]
         assert line['customer'] == 'haneul'
         assert line['adapter'] == 'ficus@1'
--- a/tests/test_claim_processes.py
+++ b/tests/test_claim_processes.py
@@ -33,7 +33,7 @@
 
 async def runs_of(deployment, key):
     """Return the runs of a key at all engines, by their own account."""
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return [
         run for truth in truths for run in truth.runs if key in str(run.body)
     ]
@@ -49,7 +49,7 @@
         return status == 200
 
     for entry in entries:
-        await processes.until(lambda entry=entry: is_backed(entry))
+        await processes.wait_until(lambda entry=entry: is_backed(entry))
 
 
 def claims_made(deployment):
@@ -94,7 +94,7 @@
         async def is_claimed():
             return claims_made(deployment) != before
 
-        await processes.until(is_claimed)
+        await processes.wait_until(is_claimed)
         (number,) = (
             n
             for n, made in enumerate(claims_made(deployment))
@@ -105,12 +105,12 @@
         del deployment.instances[number]
         await deployment.publish_instances()
         second_entry = await deployment.add_entry(**CLOCKS)
-        await deployment.ready(second_entry)
+        await deployment.wait_until_ready(second_entry)
         status, headers, _ = await send(deployment, second_entry, key)
         assert status == 409
         assert headers[work.KIND_HEADER] == 'key-in-use'
         assert headers[work.OUTCOME_HEADER] == 'unknown'
-        deployment.sidecars[number].wake()
+        deployment.sidecars[number].resume()
         status, _, _ = await first
         assert status == 200
         assert len(await runs_of(deployment, key)) == 1
@@ -142,13 +142,13 @@
         assert int(headers['Retry-After']) >= 1
         assert not await runs_of(deployment, key)
         for sidecar in frozen[:2]:
-            sidecar.wake()
+            sidecar.resume()
 
         async def is_served():
             found = await send(deployment, entry, key, 'fern')
             return found[0] == 200
 
-        await processes.until(is_served)
+        await processes.wait_until(is_served)
         await send(deployment, entry, key, 'fern')
         assert len(await runs_of(deployment, key)) == 1
 
@@ -270,7 +270,9 @@
         await sides.split(how)
         await sides.publish(live_list.InstanceState.LEAVING)
         for entry in deployment.entries:
-            await processes.until(lambda e=entry: self.serves(deployment, e))
+            await processes.wait_until(
+                lambda e=entry: self.serves(deployment, e)
+            )
         lefts = (3, 4, 3, 4)
         keys = [key_with(sides, left) for left in lefts]
         answers = await asyncio.gather(
@@ -281,7 +283,7 @@
             if how == 'one-way' and left >= 4 and statuses[0] != 200:
                 # The right's requests for votes still arrive and may
                 # block the key until its round is over.
-                await processes.until(
+                await processes.wait_until(
                     lambda key=key: self.serves(
                         deployment, deployment.entries[0], key
                     )
@@ -294,7 +296,9 @@
         await sides.heal()
         await sides.publish(live_list.InstanceState.LIVE)
         for key in keys:
-            await processes.until(lambda key=key: self.agree(deployment, key))
+            await processes.wait_until(
+                lambda key=key: self.agree(deployment, key)
+            )
             assert len(await runs_of(deployment, key)) == 1
 
     @staticmethod
--- a/tests/test_contracts_partition.py
+++ b/tests/test_contracts_partition.py
@@ -91,7 +91,7 @@
             found = await in_force(deployment, entry, customer)
             return found == version
 
-        await processes.until(is_in_force, IN_FORCE_S)
+        await processes.wait_until(is_in_force, IN_FORCE_S)
     return time.monotonic() - started_s
 
 
@@ -110,7 +110,7 @@
 
 async def runs(deployment, number):
     """Return the adapters and versions that one engine ran."""
-    truth = await deployment.truth(deployment.engines[number])
+    truth = await deployment.engine_record(deployment.engines[number])
     return [run.adapter for run in truth.runs]
 
 
@@ -138,7 +138,7 @@
             for entry in tuple(self._deployment.entries):
                 for customer in CUSTOMERS:
                     await self._read(entry, customer)
-            await asyncio.sleep(processes.POLL_S)
+            await asyncio.sleep(processes.POLL_INTERVAL_S)
 
     async def _read(self, entry, customer):
         found = await in_force(self._deployment, entry, customer)
@@ -244,7 +244,7 @@
                 found = await status(deployment, entry)
                 return found.view_age_s < time.monotonic() - split_s
 
-            await processes.until(is_younger_than_the_split, IN_FORCE_S)
+            await processes.wait_until(is_younger_than_the_split, IN_FORCE_S)
         assert read_s > split_s
 
     @pytest.mark.proves(Promise.CONTRACTS, Fault.HALF_OPEN, Step.ANY)
@@ -281,7 +281,9 @@
         await until_in_force(
             deployment, deployment.entries, 'haneul', REVOKED_VERSION
         )
-        await deployment.until_known(deployment.sidecars[RIGHT], 'haneul', 2)
+        await deployment.wait_for_revision(
+            deployment.sidecars[RIGHT], 'haneul', 2
+        )
         await sides.split('cut')
         await sides.publish(live_list.InstanceState.LEAVING)
         for entry in sides.entries(RIGHT)[:replaced]:
@@ -291,7 +293,7 @@
         ]
         await sides.publish(live_list.InstanceState.LEAVING)
         for entry in restarted:
-            await deployment.ready(entry)
+            await deployment.wait_until_ready(entry)
             # Listing models asks no sidecar, so the entry itself must know.
             assert (
                 await in_force(deployment, entry, 'haneul') == REVOKED_VERSION
--- a/tests/test_contracts_processes.py
+++ b/tests/test_contracts_processes.py
@@ -58,11 +58,11 @@
     async def is_refused():
         return await call(deployment, entry) == REVOKED
 
-    await processes.until(is_refused)
+    await processes.wait_until(is_refused)
 
 
 async def run_count(deployment):
-    truth = await deployment.truth(deployment.engines[0])
+    truth = await deployment.engine_record(deployment.engines[0])
     return len(truth.runs)
 
 
@@ -80,7 +80,7 @@
         assert (await call(deployment, deployment.entries[0]))[0] == 200
         await revoke(deployment)
         await until_refused(deployment, deployment.entries[0])
-        await deployment.until_known(deployment.sidecars[0], 'haneul', 2)
+        await deployment.wait_for_revision(deployment.sidecars[0], 'haneul', 2)
         await deployment.set_faults(
             deployment.platform, config_jump_back=PUBLISHINGS_PER_CHANGE
         )
@@ -88,7 +88,7 @@
         await deployment.entries[0].kill()
         restarted = await deployment.add_entry()
         await deployment.publish_instances()
-        await deployment.ready(restarted)
+        await deployment.wait_until_ready(restarted)
         # Listing models asks no sidecar, so the entry itself must know.
         assert await models_status(deployment, restarted) == 403
         assert await call(deployment, restarted) == REVOKED
@@ -98,7 +98,7 @@
     async def test_sidecar_alone_knows_the_revocation(self, deployment):
         """Guards against the same when all entries are replaced at once."""
         await revoke(deployment)
-        await deployment.until_known(deployment.sidecars[0], 'haneul', 2)
+        await deployment.wait_for_revision(deployment.sidecars[0], 'haneul', 2)
         await deployment.set_faults(
             deployment.platform, config_jump_back=PUBLISHINGS_PER_CHANGE
         )
@@ -106,7 +106,7 @@
             await entry.kill()
         restarted = await deployment.add_entry()
         await deployment.publish_instances()
-        await deployment.ready(restarted)
+        await deployment.wait_until_ready(restarted)
         assert await call(deployment, restarted) == REVOKED
         assert await run_count(deployment) == 0
 
@@ -129,7 +129,7 @@
             )
         )
         await deployment.publish_instances()
-        await deployment.ready(cut_off)
+        await deployment.wait_until_ready(cut_off)
         assert (await call(deployment, cut_off))[0] == 200
         await revoke(deployment)
         await until_refused(deployment, cut_off)
@@ -148,8 +148,8 @@
         paused.freeze()
         await revoke(deployment)
         await until_refused(deployment, deployment.entries[0])
-        await deployment.until_known(deployment.sidecars[0], 'haneul', 2)
+        await deployment.wait_for_revision(deployment.sidecars[0], 'haneul', 2)
         before = await run_count(deployment)
-        paused.wake()
+        paused.resume()
         assert await call(deployment, paused) == REVOKED
         assert await run_count(deployment) == before
--- a/tests/test_customer_limits_processes.py
+++ b/tests/test_customer_limits_processes.py
@@ -109,12 +109,14 @@
             sequence=next(sequence),
             wants=(limit_lease.LeaseWant(customer),),
         )
-        reply = await peer.ask(ask, limit_lease.LeaseReply, processes.WAIT_S)
+        reply = await peer.ask(
+            ask, limit_lease.LeaseReply, processes.WAIT_TIMEOUT_S
+        )
         return bool(reply.parts)
 
     peer = link_module.Peer(signer, processes.IP, port)
     with contextlib.closing(peer):
-        await processes.until(is_leasing)
+        await processes.wait_until(is_leasing)
 
 
 async def until_burst_refilled(deployment, number):
@@ -180,7 +182,7 @@
 
 
 async def runs(deployment):
-    reports = [await deployment.truth(e) for e in deployment.engines]
+    reports = [await deployment.engine_record(e) for e in deployment.engines]
     return sum(len(report.runs) for report in reports)
 
 
@@ -221,7 +223,7 @@
         async def is_at_its_limit():
             return 'rate-limited' in callers.kinds
 
-        await processes.until(is_at_its_limit)
+        await processes.wait_until(is_at_its_limit)
         for number in range(9):
             async with deployment.call(
                 deployment.entries[number % 3], 'caravan', ADAPTER
@@ -306,14 +308,14 @@
                 during_pause.total >= 0.4 * RATE_PER_S * during_pause.elapsed_s
             )
             resumed_s = time.monotonic()
-            deployment.entries[owner].wake()
+            deployment.entries[owner].resume()
             resumed = await SteadyCallers(
                 deployment, [owner], 1.0, LARGE
             ).run()
             share = (LARGE_BURST + RATE_PER_S * resumed.elapsed_s) / 3
             assert 0.5 * share <= resumed.total <= share + 1
             # The new list reaches it; from now on there is one limit.
-            await link.mend()
+            await link.reopen()
             listed = tuple(deployment.instances)
             await deployment.put(lagging, '/v1/instances', listed)
             after = await SteadyCallers(deployment, range(3), 3.0, LARGE).run()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -42,7 +42,7 @@
         is refused before it runs, as the adapter cannot be loaded in time.
         The second refusal must not be reported for both attempts.
         """
-        bench.fail_in_turn(
+        bench.fail_once_then(
             ErrorKind.OUTCOME_UNKNOWN, ErrorKind.DEADLINE_UNREACHABLE
         )
         with pytest.raises(errors.RefusalError) as caught:
--- a/tests/test_drain_processes.py
+++ b/tests/test_drain_processes.py
@@ -59,7 +59,7 @@
 
 
 async def any_run(deployment):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return any(truth.runs for truth in truths)
 
 
@@ -77,7 +77,9 @@
     for _, request_id, text in await asyncio.gather(*streams):
         assert text.endswith(STREAM_END)
         assert numbers(text) == list(range(LONG_TOKENS))
-        truths = [await deployment.truth(e) for e in deployment.engines]
+        truths = [
+            await deployment.engine_record(e) for e in deployment.engines
+        ]
         (run,) = (
             run
             for truth in truths
@@ -111,14 +113,14 @@
             requests = asyncio.create_task(
                 ask(deployment, stream=True, max_tokens=TOKENS)
             )
-            await processes.until(lambda: any_run(deployment))
+            await processes.wait_until(lambda: any_run(deployment))
             relay.reset()
             deployment.sidecars[0].terminate()
             _, _, text = await requests
             assert text.endswith(STREAM_END)
             assert numbers(text) == list(range(TOKENS))
-            assert await deployment.sidecars[0].exited() == 0
-        (run,) = (await deployment.truth(deployment.engines[0])).runs
+            assert await deployment.sidecars[0].wait_for_exit() == 0
+        (run,) = (await deployment.engine_record(deployment.engines[0])).runs
         assert run.finished
 
     @pytest.mark.proves(Promise.DRAIN, Fault.NONE, Step.SENT)
@@ -141,8 +143,8 @@
             await response.content.readline()
             response.close()
         deployment.sidecars[0].terminate()
-        assert await deployment.sidecars[0].exited() == 0
-        (run,) = (await deployment.truth(deployment.engines[0])).runs
+        assert await deployment.sidecars[0].wait_for_exit() == 0
+        (run,) = (await deployment.engine_record(deployment.engines[0])).runs
         assert run.finished
         assert not run.cancelled
 
@@ -167,13 +169,15 @@
                 results.append(await ask(deployment))
 
         requests = [asyncio.create_task(keep_asking()) for _ in range(6)]
-        await processes.until(lambda: any_run(deployment))
+        await processes.wait_until(lambda: any_run(deployment))
         for sidecar in deployment.sidecars[:2]:
             sidecar.terminate()
-            assert await sidecar.exited() == 0
+            assert await sidecar.wait_for_exit() == 0
         stopping.set()
         await asyncio.gather(*requests)
-        truths = [await deployment.truth(e) for e in deployment.engines]
+        truths = [
+            await deployment.engine_record(e) for e in deployment.engines
+        ]
         ran = [run.run_id[:36] for truth in truths for run in truth.runs]
         assert len(ran) == len(set(ran))
         for outcome, request_id, _ in results:
@@ -195,14 +199,14 @@
             )
             for stream in (True, True, False)
         ]
-        await processes.until(lambda: any_run(deployment))
+        await processes.wait_until(lambda: any_run(deployment))
         deployment.sidecars[0].terminate()
         deployment.entries[0].terminate()
         for outcome, _, text in await asyncio.gather(*requests):
             assert outcome == 'served'
             assert text.count(f':{TOKENS - 1}') == 1
-        assert await deployment.entries[0].exited() == 0
-        assert await deployment.sidecars[0].exited() == 0
+        assert await deployment.entries[0].wait_for_exit() == 0
+        assert await deployment.sidecars[0].wait_for_exit() == 0
 
 
 class TestPartition:
@@ -237,12 +241,14 @@
         ]
 
         async def all_run():
-            truths = [await deployment.truth(e) for e in deployment.engines]
+            truths = [
+                await deployment.engine_record(e) for e in deployment.engines
+            ]
             counts = [len(truth.runs) for truth in truths]
             assert not any(task.done() for task in found)
             return sum(counts) == len(found) and all(counts)
 
-        await processes.until(all_run)
+        await processes.wait_until(all_run)
         return found
 
     @pytest.mark.proves(Promise.DRAIN, Fault.PARTITION, Step.MID_STREAM)
@@ -260,11 +266,13 @@
         leaving = (deployment.entries[0], deployment.sidecars[1])
         for process in leaving:
             process.terminate()
-            await processes.until(lambda p=process: is_leaving(deployment, p))
+            await processes.wait_until(
+                lambda p=process: is_leaving(deployment, p)
+            )
         await sides.heal()
         await check_whole(deployment, streams)
         for process in leaving:
-            assert await process.exited() == 0
+            assert await process.wait_for_exit() == 0
 
     @pytest.mark.proves(Promise.DRAIN, Fault.PARTITION, Step.DRAINING)
     async def test_one_side_shuts_down_while_the_links_stay_cut(
@@ -286,16 +294,18 @@
         ]
 
         async def all_run():
-            truths = [await deployment.truth(e) for e in deployment.engines]
+            truths = [
+                await deployment.engine_record(e) for e in deployment.engines
+            ]
             return all(truth.runs for truth in truths)
 
-        await processes.until(all_run)
+        await processes.wait_until(all_run)
         leaving = (deployment.entries[0], deployment.sidecars[0])
         for process in leaving:
             process.terminate()
         await check_whole(deployment, streams)
         for process in leaving:
-            assert await process.exited() == 0
+            assert await process.wait_for_exit() == 0
 
 
 class TestInstance:
@@ -318,17 +328,17 @@
                 ask(deployment, stream=True, max_tokens=LONG_TOKENS)
             )
         ]
-        await processes.until(lambda: any_run(deployment))
+        await processes.wait_until(lambda: any_run(deployment))
         await deployment.platform.kill()
         process = {
             'entry': deployment.entries[0],
             'sidecar': deployment.sidecars[0],
         }[leaver]
         process.terminate()
-        await processes.until(lambda: is_leaving(deployment, process))
+        await processes.wait_until(lambda: is_leaving(deployment, process))
         assert not streams[0].done()
         await check_whole(deployment, streams)
-        assert await process.exited() == 0
+        assert await process.wait_for_exit() == 0
 
     @pytest.mark.proves(Promise.DRAIN, Fault.FROZEN, Step.MID_STREAM)
     @pytest.mark.parametrize('leaver', ['entry', 'sidecar'])
@@ -346,7 +356,7 @@
                 ask(deployment, stream=True, max_tokens=LONG_TOKENS)
             )
         ]
-        await processes.until(lambda: any_run(deployment))
+        await processes.wait_until(lambda: any_run(deployment))
         process = {
             'entry': deployment.entries[0],
             'sidecar': deployment.sidecars[0],
@@ -356,10 +366,10 @@
         engine = deployment.engines[0]
 
         async def is_finished():
-            (run,) = (await deployment.truth(engine)).runs
+            (run,) = (await deployment.engine_record(engine)).runs
             return run.finished
 
-        await processes.until(is_finished)
-        process.wake()
+        await processes.wait_until(is_finished)
+        process.resume()
         await check_whole(deployment, streams)
-        assert await process.exited() == 0
+        assert await process.wait_for_exit() == 0
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -131,7 +131,7 @@
 
 async def send_raw(port, data, *, half_close=False):
     """Send raw bytes; return all that is received until the end."""
-    async with asyncio.timeout(processes.WAIT_S):
+    async with asyncio.timeout(processes.WAIT_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(IP, port)
         with contextlib.closing(writer):
             writer.write(data)
@@ -524,8 +524,8 @@
             '/v1/completions',
             msgspec.json.encode(body),
         ):
-            await processes.until(lambda: _is_running(deployment, 1))
-        await processes.until(lambda: _is_running(deployment, 0))
+            await processes.wait_until(lambda: _is_running(deployment, 1))
+        await processes.wait_until(lambda: _is_running(deployment, 0))
         assert not await _has_finished(deployment)
 
     async def test_a_caller_that_stops_reading_releases_its_resources(self):
@@ -545,8 +545,8 @@
                 '/v1/completions',
                 b'{"model":"ficus-care","stream":true,"max_tokens":99999}',
             ):
-                await processes.until(lambda: _is_running(deployment, 1))
-                await processes.until(lambda: _is_running(deployment, 0))
+                await processes.wait_until(lambda: _is_running(deployment, 1))
+                await processes.wait_until(lambda: _is_running(deployment, 0))
             assert not await _has_finished(deployment)
 
 
@@ -572,12 +572,12 @@
                 '/services/plain/echo',
                 body,
             ) as reader:
-                await processes.until(lambda: _has_echoed(deployment))
+                await processes.wait_until(lambda: _has_echoed(deployment))
                 entry.terminate()
                 # Longer than the server's shutdown timeout for handlers.
                 await asyncio.sleep(2)
                 answer = await _read_all(reader)
-            assert await entry.exited() == 0
+            assert await entry.wait_for_exit() == 0
         assert answer.split(b'\r\n\r\n', 1)[1] == body
 
 
@@ -689,7 +689,7 @@
             async with aiohttp.ClientSession() as session:
                 return not await serves(deployment, session)
 
-        await processes.until(is_revoked)
+        await processes.wait_until(is_revoked)
 
 
 async def _check_raises_platform_errors(session, url):
@@ -752,7 +752,7 @@
 async def _read_all(connection):
     loop = asyncio.get_running_loop()
     data = bytearray()
-    async with asyncio.timeout(processes.WAIT_S):
+    async with asyncio.timeout(processes.WAIT_TIMEOUT_S):
         while chunk := await loop.sock_recv(connection, MAX_HEAD_BYTES):
             data += chunk
     return bytes(data)
--- a/tests/test_fault_cells.py
+++ b/tests/test_fault_cells.py
@@ -1,4 +1,4 @@
-"""Every kind of call under a fault at a step, held against the truth."""
+"""Calls of every kind under a fault at a step, checked against their runs."""
 
 import contextlib
 import dataclasses
@@ -33,17 +33,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cell:
-    """Faults that come when a request is at a step."""
+    """Faults that occur when a request is at a step."""
 
     step: Step
     fault: Fault
-    doings: tuple
+    faults_to_inject: tuple
 
     def marks(self):
         promises = PROMISES
-        if CHANGES_CONTRACTS.intersection(self.doings):
+        if CHANGES_CONTRACTS.intersection(self.faults_to_inject):
             promises += (Promise.CONTRACTS,)
-        if self.step is Step.DRAINING or faults.told_to_leave in self.doings:
+        if (
+            self.step is Step.DRAINING
+            or faults.listed_as_leaving in self.faults_to_inject
+        ):
             promises += (Promise.LEAVING,)
         return [
             pytest.mark.proves(promise, self.fault, self.step)
@@ -51,11 +54,11 @@
         ]
 
 
-def at(fault, *doings, steps):
-    return [Cell(step, fault, doings) for step in steps]
+def at(fault, *faults_to_inject, steps):
+    return [Cell(step, fault, faults_to_inject) for step in steps]
 
 
-# The cells of a scene come one after the other over the same processes.
+# The cells of a scene run one after another with the same processes.
 SCENES = {
     'killed': at(
         Fault.KILLED,
@@ -208,13 +211,13 @@
     ),
     'operators-2': at(
         Fault.OPERATOR_RACE,
-        faults.told_to_leave_and_stay,
+        faults.listed_as_leaving_and_live,
         faults.version_changed,
         steps=(Step.LOADING,),
     )
     + at(
         Fault.OPERATOR_RACE,
-        faults.told_to_leave,
+        faults.listed_as_leaving,
         steps=(Step.LOADING,),
     ),
     'queued': at(Fault.KILLED, faults.sidecar_killed, steps=(Step.QUEUED,))
@@ -225,16 +228,18 @@
     + at(Fault.LIST_WRONG, faults.list_wrong, steps=(Step.QUEUED,))
     + at(Fault.FROZEN, faults.sidecar_frozen, steps=(Step.QUEUED,)),
 }
-SPLIT = {faults.partition, faults.silent_partition}
+NEEDS_SPLIT = {faults.partition, faults.silent_partition}
 
 
 @pytest.fixture
 async def scene(tmp_path, cells):
-    # More than one run at a time would leave nobody in the queue.
+    # With more than one run at a time no request would be queued.
     is_queued = any(cell.step is Step.QUEUED for cell in cells)
-    doings = {doing for cell in cells for doing in cell.doings}
+    faults_to_inject = {
+        inject for cell in cells for inject in cell.faults_to_inject
+    }
     options = []
-    if faults.sidecar_replaced in doings:
+    if faults.sidecar_replaced in faults_to_inject:
         options.append('--ignores-fencing')
     async with contextlib.AsyncExitStack() as exits:
         deployment = await exits.enter_async_context(
@@ -244,7 +249,7 @@
         await found.build(
             exits,
             options,
-            is_split=bool(SPLIT & doings),
+            is_split=bool(NEEDS_SPLIT & faults_to_inject),
             max_running=1 if is_queued else 16,
         )
         yield found
@@ -257,23 +262,23 @@
             found.one_way()
     number = 0
     if step not in (Step.BEFORE_ADMISSION, Step.ANY):
-        scene.ask_all()
+        scene.send_all()
         reached = Step.SENT if step is Step.DRAINING else step
-        number = await scene.reach(reached)
+        number = await scene.wait_for_step(reached)
     async with contextlib.AsyncExitStack() as exits:
         if step is Step.DRAINING:
             await exits.enter_async_context(faults.draining(scene, number))
-        for doing in cell.doings:
-            await exits.enter_async_context(doing(scene, number))
+        for inject in cell.faults_to_inject:
+            await exits.enter_async_context(inject(scene, number))
         if step in (Step.BEFORE_ADMISSION, Step.ANY):
-            scene.ask_all()
+            scene.send_all()
         if step is Step.BEFORE_DELIVERY:
-            # What the relay holds never arrives.
+            # Answers that the relay held back never arrive.
             for found in scene.relays:
                 await found.cut()
-                await found.mend()
-        await scene.ended()
-    await scene.recover()
+                await found.reopen()
+        await scene.wait_for_answers()
+    await scene.wait_until_recovered()
     await scene.check()
 
 
@@ -286,11 +291,11 @@
         for name, cells in SCENES.items()
     ],
 )
-async def test_what_callers_got_agrees_with_the_truth(scene, cells):
-    """A caller is told, or given, something else than what was done.
+async def test_answers_agree_with_recorded_runs(scene, cells):
+    """A caller gets an outcome or an answer that differs from what ran.
 
-    Calls of every kind are on their way; when one is at the step, the
-    faults come.  They heal once every caller has been answered.
+    Calls of every kind are in progress.  When one of them is at the step,
+    the faults occur; they heal once every call has an answer.
     """
     for cell in cells:
         await run_cell(scene, cell)
--- a/tests/test_fencing_processes.py
+++ b/tests/test_fencing_processes.py
@@ -110,16 +110,16 @@
         async def waits():
             return successor.has_logged('port in use')
 
-        await processes.until(waits)
+        await processes.wait_until(waits)
         after = await report(deployment)
         assert after['last_fencing'] == before['last_fencing']
         assert after['adapters'] == before['adapters']
         await old.kill()
-        await successor.listening()
-        await processes.until(lambda: ready(deployment, successor))
-        await processes.until(lambda: served(deployment, ADAPTERS[4]))
-        await processes.until(lambda: served(deployment, ADAPTERS[5]))
-        truth = await deployment.truth(deployment.engines[0])
+        await successor.wait_until_listening()
+        await processes.wait_until(lambda: ready(deployment, successor))
+        await processes.wait_until(lambda: served(deployment, ADAPTERS[4]))
+        await processes.wait_until(lambda: served(deployment, ADAPTERS[5]))
+        truth = await deployment.engine_record(deployment.engines[0])
         assert len(truth.evictions) == 2
         assert not truth.evictions_under_run
         assert (await report(deployment))['running'] == 1
@@ -137,8 +137,8 @@
         old_token = (await report(deployment))['last_fencing']
         await deployment.sidecars[0].kill()
         successor = await deployment.spawn_successor(0)
-        await successor.listening()
-        await processes.until(lambda: served(deployment, ADAPTERS[1]))
+        await successor.wait_until_listening()
+        await processes.wait_until(lambda: served(deployment, ADAPTERS[1]))
         async with deployment.session.post(
             deployment.engines[0].url + '/v1/unload_lora_adapter',
             json={'lora_name': f'{ADAPTERS[1]}@1', 'fencing': old_token},
@@ -162,8 +162,8 @@
             assert await served(deployment, ADAPTERS[0])
             async with deployment.session.post(engine.url + '/restart'):
                 pass
-            await processes.until(lambda: served(deployment, ADAPTERS[0]))
-        truth = await deployment.truth(engine)
+            await processes.wait_until(lambda: served(deployment, ADAPTERS[0]))
+        truth = await deployment.engine_record(engine)
         assert truth.fenced_orders == 0
         assert not truth.evictions_under_run
 
@@ -182,9 +182,9 @@
         await deployment.set_faults(engine, report_delay_s=0.7)
         await deployment.sidecars[0].kill()
         successor = await deployment.spawn_successor(0)
-        await successor.listening()
-        await processes.until(lambda: served(deployment, ADAPTERS[1]))
+        await successor.wait_until_listening()
+        await processes.wait_until(lambda: served(deployment, ADAPTERS[1]))
         assert (await report(deployment))['last_fencing'] > before[
             'last_fencing'
         ]
-        assert (await deployment.truth(engine)).fenced_orders == 0
+        assert (await deployment.engine_record(engine)).fenced_orders == 0
--- a/tests/test_leaving_processes.py
+++ b/tests/test_leaving_processes.py
@@ -59,7 +59,7 @@
         async with deployment.session.get(sidecar.url + '/readyz') as response:
             return response.status == 503
 
-    await processes.until(is_refusing)
+    await processes.wait_until(is_refusing)
 
 
 async def call_all(deployment, entry):
@@ -82,7 +82,7 @@
 
 
 async def run_counts(deployment):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return [len(truth.runs) for truth in truths]
 
 
@@ -100,7 +100,7 @@
         _, stale = await start_stale_platform(deployment)
         stale_entry = await deployment.add_entry(live_list=stale)
         await deployment.publish_instances()
-        await deployment.ready(stale_entry)
+        await deployment.wait_until_ready(stale_entry)
         await call_all(deployment, stale_entry)
         before = await run_counts(deployment)
         assert min(before) > 0
@@ -116,7 +116,7 @@
         entry = deployment.entries[0]
         entry.freeze()
         await list_as_leaving_and_wait(deployment, 0)
-        entry.wake()
+        entry.resume()
         await call_all(deployment, entry)
         assert await run_counts(deployment) == [0, 8]
 
@@ -159,11 +159,11 @@
             )
             _, stale = await start_stale_platform(deployment)
             stale_entry = await deployment.add_entry(live_list=stale)
-            await deployment.ready(stale_entry)
+            await deployment.wait_until_ready(stale_entry)
             link.half_open()
             sent = link.wait_for(b'POST /run')
             calling = asyncio.create_task(call_all(deployment, stale_entry))
-            async with asyncio.timeout(processes.WAIT_S):
+            async with asyncio.timeout(processes.WAIT_TIMEOUT_S):
                 await sent.wait()
             await list_as_leaving_and_wait(deployment, 0)
             link.heal()
@@ -219,7 +219,7 @@
         async def all_ran():
             return min(await run_counts(deployment)) > 0
 
-        await processes.until(all_ran)
+        await processes.wait_until(all_ran)
         paused = deployment.entries[1]
         if outdated == 'a paused entry':
             paused.freeze()
@@ -230,19 +230,19 @@
             found = (await run_counts(deployment))[LEAVER]
             if found != count:
                 count, last_run_at_s = found, time.monotonic()
-            await asyncio.sleep(processes.POLL_S)
+            await asyncio.sleep(processes.POLL_INTERVAL_S)
         record_property('last_new_run_s', last_run_at_s - listed_at_s)
         print(
             f'last new run {last_run_at_s - listed_at_s:.3f} s after the list'
         )
-        paused.wake()
+        paused.resume()
         before = served.copy()
 
         async def all_served():
             assert not any(task.done() for task in calling)
             return all(served[e] > before[e] + 2 for e in deployment.entries)
 
-        await processes.until(all_served)
+        await processes.wait_until(all_served)
         assert (await run_counts(deployment))[LEAVER] == count
         for task in calling:
             task.cancel()
--- a/tests/test_not_run_processes.py
+++ b/tests/test_not_run_processes.py
@@ -81,7 +81,7 @@
 
 
 async def runs_of(deployment, request_id):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return [
         run
         for truth in truths
@@ -96,7 +96,7 @@
 
 
 async def any_run(deployment):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return any(truth.runs for truth in truths)
 
 
@@ -131,7 +131,7 @@
     async def is_set():
         return any(event.is_set() for event in events)
 
-    await processes.until(is_set)
+    await processes.wait_until(is_set)
 
 
 async def answering(deployment, process):
@@ -153,14 +153,14 @@
         async def idle(engine=engine):
             return not await running(deployment, engine)
 
-        await processes.until(idle)
+        await processes.wait_until(idle)
     found = await runs_of(deployment, request_id)
     if outcome == 'not-run':
         assert not found
     if outcome == 'served':
         assert found
     for engine in deployment.engines:
-        truth = await deployment.truth(engine)
+        truth = await deployment.engine_record(engine)
         assert not truth.evictions_under_run
     return found
 
@@ -191,15 +191,15 @@
         adapter = 'fern' if customer == 'again' else 'ficus'
         asking = asyncio.create_task(ask(deployment, customer, adapter))
         if step is Step.LOADING:
-            await processes.until(lambda: loading(deployment))
+            await processes.wait_until(lambda: loading(deployment))
             sidecar.freeze()
         if step is Step.SENT:
-            await processes.until(lambda: any_run(deployment))
+            await processes.wait_until(lambda: any_run(deployment))
             sidecar.freeze()
         outcome, request_id, _ = await asking
         assert outcome == 'unknown'
-        sidecar.wake()
-        await processes.until(lambda: answering(deployment, sidecar))
+        sidecar.resume()
+        await processes.wait_until(lambda: answering(deployment, sidecar))
         found = await check_truth(deployment, outcome, request_id)
         assert len(found) <= 1
 
@@ -224,12 +224,14 @@
         await deployment.add_entry()
         add_customers(deployment)
         await deployment.publish()
-        await processes.until(lambda: deployment.promises(other))
+        await processes.wait_until(
+            lambda: deployment.voids_unknown_attempt(other)
+        )
         deployment.sidecars[0].freeze()
         outcome, request_id, _ = await ask(deployment, 'once', 'ficus')
         assert outcome == 'unknown'
-        deployment.sidecars[0].wake()
-        await processes.until(
+        deployment.sidecars[0].resume()
+        await processes.wait_until(
             lambda: answering(deployment, deployment.sidecars[0])
         )
         await check_truth(deployment, outcome, request_id)
@@ -261,31 +263,35 @@
             await deployment.add_entry()
             add_customers(deployment)
             await deployment.publish()
-            await processes.until(lambda: deployment.promises(listed))
+            await processes.wait_until(
+                lambda: deployment.voids_unknown_attempt(listed)
+            )
             sent = work_link.wait_for(b'POST /run')
             asked = [control_link.wait_for(mark) for mark in void_marks()]
             sidecar = deployment.sidecars[0]
             sidecar.freeze()
             # Else the sidecar drops a request whose caller has gone.
-            work_link.loses_ends = True
+            work_link.drops_close = True
             if finds == 'the question first':
                 work_link.half_open()
             if finds == 'the request first':
                 control_link.half_open()
             asking = asyncio.create_task(ask(deployment, 'once', 'ficus'))
-            async with asyncio.timeout(processes.WAIT_S):
+            async with asyncio.timeout(processes.WAIT_TIMEOUT_S):
                 await sent.wait()
                 if finds != 'the request':
                     await first_of(asked)
             assert not asking.done()
-            sidecar.wake()
+            sidecar.resume()
             if finds == 'the request first':
-                await processes.until(lambda: answering(deployment, sidecar))
+                await processes.wait_until(
+                    lambda: answering(deployment, sidecar)
+                )
                 control_link.heal()
             outcome, request_id, _ = await asking
             work_link.heal()
             assert outcome in allowed
-            await processes.until(lambda: answering(deployment, sidecar))
+            await processes.wait_until(lambda: answering(deployment, sidecar))
             # What was held arrives before what is sent now.
             again, _, _ = await ask(deployment, 'once', 'ficus')
             assert again == 'served'
@@ -317,7 +323,7 @@
         assert '"outcome":"partial"' in text
         assert numbers(text) == list(range(len(numbers(text))))
         assert 3 <= len(numbers(text)) < TOKENS
-        sidecar.wake()
+        sidecar.resume()
         assert len(await check_truth(deployment, 'partial', request_id)) == 1
 
 
@@ -332,10 +338,10 @@
         await start(deployment, '--token-s', '0.1')
         await deployment.set_faults(deployment.engines[0], runs_on=True)
         asking = asyncio.create_task(ask(deployment, 'once', 'ficus'))
-        await processes.until(lambda: any_run(deployment))
+        await processes.wait_until(lambda: any_run(deployment))
         await deployment.sidecars[0].kill()
         successor = await deployment.spawn_successor(0)
-        await successor.listening()
+        await successor.wait_until_listening()
         outcome, request_id, _ = await asking
         assert outcome == 'unknown'
         assert len(await check_truth(deployment, outcome, request_id)) == 1
@@ -352,14 +358,14 @@
         asking = asyncio.create_task(
             ask(deployment, 'once', 'ficus', stream=True, max_tokens=TOKENS)
         )
-        await processes.until(lambda: any_run(deployment))
+        await processes.wait_until(lambda: any_run(deployment))
         old = deployment.sidecars[0]
         successor = await deployment.spawn_successor(0)
 
         async def waits():
             return successor.has_logged('port in use')
 
-        await processes.until(waits)
+        await processes.wait_until(waits)
         await old.kill()
         _, request_id, text = await asking
         found = await check_truth(deployment, 'served', request_id)
@@ -385,7 +391,7 @@
             await deployment.publish()
             adapter = 'fern' if customer == 'again' else 'ficus'
             asking = asyncio.create_task(ask(deployment, customer, adapter))
-            await processes.until(lambda: any_run(deployment))
+            await processes.wait_until(lambda: any_run(deployment))
             relay.reset()
             outcome, request_id, text = await asking
             assert outcome == 'served'
@@ -451,8 +457,8 @@
             asking = asyncio.create_task(
                 ask(deployment, 'once', 'ficus', stream=True, max_tokens=40)
             )
-            await processes.until(lambda: any_run(deployment))
-            relay.stall()
+            await processes.wait_until(lambda: any_run(deployment))
+            relay.stall_open_connections()
             _, request_id, text = await asking
             assert text.endswith(END)
             assert numbers(text) == list(range(40))
@@ -491,14 +497,14 @@
             return not await running(deployment, engine)
 
         async def is_ended():
-            (run,) = (await deployment.truth(engine)).runs
+            (run,) = (await deployment.engine_record(engine)).runs
             return run.cancelled or run.finished
 
-        await processes.until(idle)
+        await processes.wait_until(idle)
         # The engine stops as its connection closes, and hears a moment
         # later why.
-        await processes.until(is_ended)
-        (run,) = (await deployment.truth(engine)).runs
+        await processes.wait_until(is_ended)
+        (run,) = (await deployment.engine_record(engine)).runs
         assert run.cancelled is is_cancelled
         assert run.finished is not is_cancelled
 
@@ -572,7 +578,7 @@
             outcome, _, _ = await ask(deployment, 'once', 'ficus')
             return outcome == 'served'
 
-        await processes.until(served)
+        await processes.wait_until(served)
 
 
 class TestPlainService:
@@ -591,7 +597,7 @@
             deployment.entries[0], 'once', 'valve', method=method
         ) as response:
             assert response.headers[work.OUTCOME_HEADER] == 'unknown'
-        assert len(await deployment.service_truth(service)) == 1
+        assert len(await deployment.service_runs(service)) == 1
 
     @pytest.mark.proves(
         Promise.WHOLE_ANSWER, Fault.STREAM_CUT, Step.BEFORE_DELIVERY
@@ -638,12 +644,12 @@
             service = deployment.services[0]
 
             async def has_run():
-                return bool(await deployment.service_truth(service))
+                return bool(await deployment.service_runs(service))
 
-            await processes.until(has_run)
+            await processes.wait_until(has_run)
             relay.reset()
             assert await asking == (200, b'10 ml')
-            assert len(await deployment.service_truth(service)) == 1
+            assert len(await deployment.service_runs(service)) == 1
 
     async def _water(self, deployment):
         async with deployment.call_service(
@@ -682,7 +688,7 @@
             ) as response:
                 return response.status != 200
 
-        await processes.until(misled)
+        await processes.wait_until(misled)
         outcome, _, text = await ask(deployment, 'once', 'ficus')
         assert outcome in ('not-run', 'unknown')
         assert 'choices' not in text
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay that cuts links between processes of the tests."""
+"""Tests of the relay that cuts links between processes."""
 
 import asyncio
 import socket
@@ -23,10 +23,10 @@
 
 class TestCut:
     async def test_port_is_kept_while_the_link_is_cut(self):
-        """A link cannot be mended: its address is in use.
+        """A link that is cut cannot be reopened: its address is in use.
 
-        Nobody listens while it is cut, so another process, or any
-        connection that goes out, is given the port.
+        No socket listens while it is cut, so the system could give the
+        port to another process or to any outgoing connection.
         """
         server = await asyncio.start_server(echo, relay.IP, 0)
         target = server.sockets[0].getsockname()[1]
@@ -39,5 +39,5 @@
                 other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 with pytest.raises(OSError, match='in use'):
                     other.bind((relay.IP, link.port))
-            await link.mend()
+            await link.reopen()
             assert await ask(link.port) == b'x'
--- a/tests/test_sidecar_link.py
+++ b/tests/test_sidecar_link.py
@@ -24,7 +24,7 @@
         bench.hold(sidecar)
     request = asyncio.create_task(bench.send(**fields))
     await until(lambda: bench.calls == 1)
-    held = bench.asked_sidecar()
+    held = bench.first_called_sidecar()
     for sidecar in bench.sidecars:
         if sidecar is not held:
             sidecar.held = None
--- a/tests/test_silence_processes.py
+++ b/tests/test_silence_processes.py
@@ -23,7 +23,7 @@
     """Serve one request; return the number of the engine it ran on."""
     assert await ask(deployment, 'warm') == 200
     for number, engine in enumerate(deployment.engines):
-        if (await deployment.truth(engine)).runs:
+        if (await deployment.engine_record(engine)).runs:
             return number
     raise AssertionError('the request ran on no engine')
 
@@ -41,7 +41,7 @@
 
 
 async def run_count(deployment, label):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     users = [
         msgspec.json.decode(run.body)['user']
         for truth in truths
@@ -107,7 +107,7 @@
     labels = [f'call-{number}' for number in range(4)]
     statuses = await asyncio.gather(*(ask(deployment, x) for x in labels))
     assert statuses == [200] * len(labels)
-    deployment.sidecars[index].wake()
+    deployment.sidecars[index].resume()
 
 
 @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.HALF_OPEN, Step.SENT)
@@ -124,7 +124,9 @@
     deployment, relays = await start(repeatable=False)
     index = await engine_index_of(deployment)
     sidecar = deployment.instances[index]
-    await processes.until(lambda: deployment.promises(sidecar))
+    await processes.wait_until(
+        lambda: deployment.voids_unknown_attempt(sidecar)
+    )
     relays[index].half_open()
     assert await ask(deployment, 'stuck') == 200
     relays[index].heal()
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -764,7 +764,7 @@
 
             old = [asyncio.create_task(model()) for _ in range(4)]
             engine = deployment.engines[0]
-            await processes.until(lambda: loading(deployment, engine))
+            await processes.wait_until(lambda: loading(deployment, engine))
             old_contract = deployment.contracts['haneul']
             deployment.contracts['haneul'] = contract.Contract(
                 customer='haneul',
@@ -781,11 +781,11 @@
             async def changed():
                 return await model() == 'ficus@2'
 
-            await processes.until(changed)
+            await processes.wait_until(changed)
             assert set(await asyncio.gather(*old)) <= {'ficus@1', 'ficus@2'}
             new = await asyncio.gather(*(model() for _ in range(4)))
             assert set(new) == {'ficus@2'}
-            truth = await deployment.truth(engine)
+            truth = await deployment.engine_record(engine)
             assert truth.evictions_under_run == []
             assert {run.adapter for run in truth.runs} == {
                 'ficus@1',
@@ -794,5 +794,5 @@
 
 
 async def loading(deployment, engine):
-    truth = await deployment.truth(engine)
+    truth = await deployment.engine_record(engine)
     return bool(truth.loads)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -46,7 +46,9 @@
         ) as response:
             assert response.status == 403
             assert response.headers[work.OUTCOME_HEADER] == 'not-run'
-        truths = [await deployment.truth(e) for e in deployment.engines]
+        truths = [
+            await deployment.engine_record(e) for e in deployment.engines
+        ]
         assert not any(truth.runs for truth in truths)
 
 
@@ -80,4 +82,4 @@
             sidecar.terminate()
         for text in await asyncio.gather(*streams):
             assert text.endswith('data: [DONE]\n\n')
-        assert await deployment.entries[0].exited() == 0
+        assert await deployment.entries[0].wait_for_exit() == 0
--- a/tests/test_upgrade_processes.py
+++ b/tests/test_upgrade_processes.py
@@ -70,7 +70,7 @@
         async def is_left():
             return not self._in_progress[entry]
 
-        await processes.until(is_left)
+        await processes.wait_until(is_left)
 
     def stop(self):
         self._stopping.set()
@@ -80,9 +80,9 @@
     old = deployment.sidecars[number]
     old.terminate()
     successor = await deployment.spawn_successor(number)
-    assert await old.exited() == 0
-    await successor.listening()
-    await deployment.ready(successor)
+    assert await old.wait_for_exit() == 0
+    await successor.wait_until_listening()
+    await deployment.wait_until_ready(successor)
     # The list tells the two apart: without that, entries that heard the
     # old one leave would pass the new one over for a minute.
     deployment.instances = [
@@ -95,7 +95,7 @@
 
 async def runs(deployment):
     """Return the requests that each engine ran, in order."""
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     return [[run.run_id[:36] for run in truth.runs] for truth in truths]
 
 
@@ -115,11 +115,11 @@
         key = processes.new_key()
         return (await send(entries[0]))[0] == 200
 
-    await processes.until(is_backed)
+    await processes.wait_until(is_backed)
     answers = [await send(entry) for entry in entries]
     assert [status for status, _ in answers] == [200] * len(entries)
     assert len(set(answers)) == 1
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    truths = [await deployment.engine_record(e) for e in deployment.engines]
     ran = [
         run for truth in truths for run in truth.runs if key in str(run.body)
     ]
@@ -135,7 +135,7 @@
     )
     await deployment.publish_contracts()
     for process in found:
-        await deployment.until_known(process, CUSTOMER, revision)
+        await deployment.wait_for_revision(process, CUSTOMER, revision)
 
 
 async def check_account(deployment, entries, callers):
@@ -149,16 +149,16 @@
             (service,) = (s for s in found.services if s.customer == CUSTOMER)
             return not found.gaps and service.served_count == received
 
-        await processes.until(is_whole)
+        await processes.wait_until(is_whole)
 
 
 class TestRollingUpgrade:
     @pytest.mark.parametrize(
         'programs',
         [
-            (processes.PREVIOUS, processes.PROGRAM),
-            (processes.PROGRAM, processes.NEXT),
-            (processes.NEXT, processes.PROGRAM),
+            (processes.PREVIOUS_PROGRAM, processes.PROGRAM),
+            (processes.PROGRAM, processes.NEXT_PROGRAM),
+            (processes.NEXT_PROGRAM, processes.PROGRAM),
         ],
         ids=['from-the-previous', 'to-the-next', 'back'],
     )
@@ -182,7 +182,7 @@
                 await replace_sidecar(deployment, number)
             new = await deployment.add_entry(**CLOCKS, **OPERATED)
             await deployment.publish_instances()
-            await deployment.ready(new)
+            await deployment.wait_until_ready(new)
             callers.entries.append(new)
             leaving, old = deployment.entries[:2]
             everyone = (*deployment.sidecars, leaving, old, new)
@@ -201,10 +201,10 @@
             # While three entries take turns, each of them calls each
             # adapter.  Two would each call every other one, and never
             # meet an engine that holds the rest.
-            await processes.until(each_met_each)
+            await processes.wait_until(each_met_each)
             await callers.leave(leaving)
             leaving.terminate()
-            assert await leaving.exited() == 0
+            assert await leaving.wait_for_exit() == 0
             deployment.instances = [
                 i for i in deployment.instances if i.name != 'entry-0'
             ]
@@ -216,7 +216,7 @@
                 now = sum(len(ids) for ids in callers.ids.values())
                 return now > served + 2 * len(ADAPTERS)
 
-            await processes.until(go_on)
+            await processes.wait_until(go_on)
             callers.stop()
             await asyncio.gather(*pressing)
             counts = collections.Counter(sum(await runs(deployment), []))
