--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -1,4 +1,7 @@
-"""Makes docs/FAULT_MATRIX.md from the markers of the tests.
+"""Generates docs/FAULT_MATRIX.md from the markers of the tests.
+
+A cell of the matrix is a promise under a fault, with the tests that prove
+it.  The values of the enums are texts of the page.
 
 Run ``python -m tests.fault_matrix`` to write the page, or with
 ``--check`` to fail when the page is out of date.
@@ -15,7 +18,7 @@
 
 
 class Promise(enum.StrEnum):
-    """What must always hold; the rows."""
+    """A guarantee that must always hold; a section of the page."""
 
     RIGHT_ADAPTER = 'right adapter and version'
     NO_EVICTION = 'no eviction under a running request'
@@ -31,7 +34,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What fails; the columns."""
+    """A kind of failure; a row of each section."""
 
     NONE = 'no fault'
     KILLED = 'process killed'
@@ -54,7 +57,7 @@
 
 
 class Step(enum.StrEnum):
-    """Where the request is when it fails."""
+    """The state of a request when the fault occurs."""
 
     ANY = 'any'
     BEFORE_ADMISSION = 'before admission'
@@ -82,7 +85,7 @@
     'between a sidecar and its engine only'
 )
 
-# Cells that cannot happen, with the reason.
+# Cells that cannot happen, with the reasons.
 IMPOSSIBLE: dict[tuple[Promise, Fault], str] = (
     {
         (Promise.CONTRACTS, fault): _NO_ENGINE_HOLDS_A_CONTRACT
@@ -128,12 +131,13 @@
 
 
 def render():
-    """Return the page."""
+    """Return the text of the page."""
     collector = _Collector()
     code = pytest.main(
         ['--collect-only', '-qq', '-n0', '--no-header'], plugins=[collector]
     )
-    # A module that cannot be imported would drop its cells in silence.
+    # The cells of a module that cannot be imported would be missing
+    # without an error.
     if code != pytest.ExitCode.OK:
         raise RuntimeError(f'tests cannot be collected: {code!r}')
     lines = [
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,10 +1,10 @@
-"""A randomized soak: real processes, faults from outside, promises checked.
+"""A randomized soak test of real processes under injected faults.
 
     python -m tests.soak --first 1 --count 50
 
 Each seed starts the programs of the deploy file on the stand-in of the
-platform, lets callers press on while faults come and overlap, and then
-checks in calm what must hold again.
+platform.  Callers send requests while faults occur and overlap; once the
+faults are over, it checks that everything is served again.
 """
 
 import asyncio
@@ -25,32 +25,32 @@
 from tests import soak_faults
 from tests import soak_keys
 
-CALLERS = 6
-ADAPTERS = 7
-LENGTH_S = 8.0
-# Bounds of the stand-in's settings, and a second for a busy machine.
+CALLER_COUNT = 6
+ADAPTER_COUNT = 7
+FAULTS_S = 8.0
+# The bounds in the stand-in's settings, plus a second for a busy machine.
 RECOVERY_S = 12.0
-DRAIN_S = 3.0
-_PAUSE_S = 0.05
-_TIMEOUT_S = 6.0
-_NOT_RUN = frozenset({408, 421, 429, 503})
+DRAIN_START_S = 3.0
+_MAX_PAUSE_S = 0.05
+_CALL_TIMEOUT_S = 6.0
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _KINDS = ('chat', 'draft', 'command', 'lookup')
-# Shorter for plain services than a link may be silent, so that the time
-# of a request ends while its answer is waited for.
+# For plain services shorter than the time that a link may be silent, so
+# that requests reach their deadlines while they wait for an answer.
 _DEADLINES_MS = {'chat': 5000, 'draft': 5000, 'command': 1500, 'lookup': 1500}
-_ONCE = frozenset({'draft', 'command'})
-EVENTS = [1, 2, 3, 4, 5]
-# The request that finds out which configuration is in force.
+_AT_MOST_ONCE_KINDS = frozenset({'draft', 'command'})
+EVENT_NUMBERS = [1, 2, 3, 4, 5]
+# ID of the request that tests whether a configuration is in force.
 _PROBE_ID = 'probe'
 
 
 class BrokenPromiseError(AssertionError):
-    """What callers or backend servers saw must not happen."""
+    """Callers or backend servers saw something that must never happen."""
 
 
 @dataclasses.dataclass
 class Call:
-    """One request of a caller, and what it got."""
+    """One request of a caller and its answer."""
 
     id: str
     kind: str
@@ -66,22 +66,22 @@
         return self.status == 200 and self.is_whole
 
 
-class Judge:
-    """Holds the calls against what the backend servers ran."""
+class ResultChecker:
+    """Checks the calls against what the backend servers ran."""
 
     def __init__(self, platform):
         self.platform = platform
         self.calls = []
         self.broken = []
 
-    def begin(self, kind, entry, key=None):
+    def start_call(self, kind, entry, key=None):
         name = f'{kind}-{len(self.calls)}'
         call = Call(name, kind, entry, time.monotonic(), key)
         self.calls.append(call)
         return call
 
     def check_answer(self, call, headers, body):
-        """Check an answer that came whole."""
+        """Check an answer that arrived completely."""
         call.is_whole = True
         if call.status != 200:
             if call.status == 401 and soak_keys.may_be_denied(call):
@@ -93,31 +93,35 @@
             self._fail(call, 'a success without a signature')
         if call.kind in ('chat', 'draft'):
             numbers = [int(n) for n in body.split() if n.isdigit()]
-            if numbers != EVENTS:
-                self._fail(call, f'ends as whole with events {numbers}')
+            if numbers != EVENT_NUMBERS:
+                self._fail(
+                    call, f'ended without an error after events {numbers}'
+                )
         elif body != b'ran ' + call.id.encode():
-            self._fail(call, f'got the answer of another: {body!r}')
+            self._fail(call, f'got the answer of another request: {body!r}')
 
     def check_runs(self):
-        """Check what ran against what callers were told."""
+        """Check what ran against the answers that callers got."""
         ran = collections.Counter()
         for service in self.platform.services:
             ran.update(service.runs)
         for engine in self.platform.engines:
             ran.update(engine.ran)
-        unasked = ran.keys() - {call.id for call in self.calls} - {_PROBE_ID}
-        if unasked:
-            self.broken.append(f'nobody sent {sorted(unasked)[:3]}')
+        unsent = ran.keys() - {call.id for call in self.calls} - {_PROBE_ID}
+        if unsent:
+            self.broken.append(f'no caller sent {sorted(unsent)[:3]}')
         for call in self.calls:
-            if call.kind not in _ONCE:
+            if call.kind not in _AT_MOST_ONCE_KINDS:
                 continue
             if ran[call.id] > 1:
                 self._fail(call, f'ran {ran[call.id]} times')
-            if ran[call.id] and call.status in _NOT_RUN:
-                self._fail(call, f'was told {call.status}, and ran')
+            if ran[call.id] and call.status in _NOT_RUN_STATUSES:
+                self._fail(call, f'was refused with {call.status}, and ran')
         for engine in self.platform.engines:
             if engine.has_crashed:
-                self.broken.append(f'{engine.name} got an adapter too many')
+                self.broken.append(
+                    f'{engine.name} got more adapters than it has slots'
+                )
         identified = [
             run
             for server in (*self.platform.engines, *self.platform.services)
@@ -132,11 +136,11 @@
 
 
 class Scene:
-    """One run of the soak."""
+    """One run of the soak test."""
 
     def __init__(self, platform, seed, keys):
         self.platform = platform
-        self.judge = Judge(platform)
+        self.checker = ResultChecker(platform)
         self.keys = keys
         self._random = random.Random(seed)
         self._versions = itertools.count(6)
@@ -149,8 +153,8 @@
 
     async def publish(self):
         version = next(self._versions)
-        # Two attempts also for what may run once: only the kind of the
-        # route then keeps it from running twice.
+        # Two attempts also for requests that may run at most once, so that
+        # only the kind of the route keeps them from running twice.
         found = standin.configuration(
             version,
             tenants=self.keys.tenants(),
@@ -159,10 +163,10 @@
             draft={'maxAttempts': 2},
         )
         await self.platform.store.put('op/config', found)
-        self.newest_path = f'/v{version}/x'
+        self.newest_route = f'/v{version}/x'
 
-    async def store_goes_back(self, for_s):
-        """Lose what was written since a backup, and write it again."""
+    async def restore_backup(self, for_s):
+        """Restore the store from a backup, then write the lost keys again."""
         store = self.platform.store
         backup = store.backup()
         await asyncio.sleep(for_s)
@@ -173,7 +177,7 @@
         await store.restore(backup)
         await asyncio.sleep(for_s / 4)
         for key in sorted(accepted.keys() | store.items.keys()):
-            # What was written since is newer.
+            # Keys that were written after the restore are newer.
             if not any(event['key'] == key for event in store.history):
                 await self._write_again(key, accepted.get(key))
 
@@ -185,17 +189,17 @@
             await store.put_content(key, item['value'])
 
     async def replace_key(self):
-        taken = self.keys.replace(self._random)
+        revoked = self.keys.replace(self._random)
         await self.publish()
-        soak_keys.note_acknowledged(taken)
+        soak_keys.record_revocation(revoked)
 
     async def restart_engine(self, number):
         engine = self.platform.engines[number]
         key = f'servers/{engine.name}'
-        place = self.platform.address_of(engine)
+        address = self.platform.address_of(engine)
         engine.restart(f'i-{next(self._names)}')
         await self.platform.store.put(
-            f'servers/{engine.name}', engine.entry(place)
+            f'servers/{engine.name}', engine.entry(address)
         )
         await self.platform.store.delete(key)
 
@@ -203,8 +207,8 @@
         await self.publish()
         planned = soak_faults.plan(self._random, self._targets(), length_s)
         callers = [
-            asyncio.create_task(self._call_on(number))
-            for number in range(CALLERS)
+            asyncio.create_task(self._run_caller(number))
+            for number in range(CALLER_COUNT)
         ]
         try:
             async with asyncio.TaskGroup() as faults:
@@ -217,8 +221,8 @@
         finally:
             self._is_ending = True
             await asyncio.gather(*callers)
-            # Also where calm showed a failure: what ran may say why.
-            self.judge.check_runs()
+            # Also after a failure above: what ran may explain it.
+            self.checker.check_runs()
         return planned
 
     def _targets(self):
@@ -232,29 +236,29 @@
 
     async def _inject(self, fault):
         await asyncio.sleep(fault.at_s)
-        # Two faults of one process would meet a process that is not there.
+        # A second fault of the same process would find no process.
         async with self._locks[fault.target]:
             await soak_faults.BY_NAME[fault.kind](
                 self, fault.target, fault.for_s
             )
 
-    async def _call_on(self, number):
-        """Call on open connections, for as long as they serve."""
-        source = random.Random(number)
+    async def _run_caller(self, number):
+        """Send requests on a connection until it closes, then on another."""
+        rng = random.Random(number)
         entry = number % len(self.platform.caller_urls)
         while not self._is_ending:
             connector = aiohttp.TCPConnector(limit=1)
             async with aiohttp.ClientSession(connector=connector) as session:
                 is_open = True
                 while is_open and not self._is_ending:
-                    is_open = await self._call(session, source, entry)
-                    await asyncio.sleep(source.uniform(0.0, _PAUSE_S))
+                    is_open = await self._call(session, rng, entry)
+                    await asyncio.sleep(rng.uniform(0.0, _MAX_PAUSE_S))
             entry = (entry + 1) % len(self.platform.caller_urls)
 
-    async def _call(self, session, source, entry):
-        """Send one request; return whether its connection may go on."""
-        kind = source.choice(_KINDS)
-        call = self.judge.begin(kind, entry, self.keys.pick(source))
+    async def _call(self, session, rng, entry):
+        """Send one request; return whether its connection may be reused."""
+        kind = rng.choice(_KINDS)
+        call = self.checker.start_call(kind, entry, self.keys.pick(rng))
         headers = {
             'Authorization': f'Token {call.key.text}',
             'Tenant': 'nobody',
@@ -263,12 +267,12 @@
             'Deadline-Ms': str(_DEADLINES_MS[kind]),
         }
         if kind in ('chat', 'draft'):
-            adapter = source.randrange(ADAPTERS)
+            adapter = rng.randrange(ADAPTER_COUNT)
             headers['Model'] = f'{standin.MODEL}/a{adapter}'
         method = 'GET' if kind == 'lookup' else 'POST'
         url = f'{self.platform.caller_urls[entry]}/{kind}/x'
         try:
-            async with asyncio.timeout(_TIMEOUT_S):
+            async with asyncio.timeout(_CALL_TIMEOUT_S):
                 async with session.request(
                     method, url, data=call.id.encode(), headers=headers
                 ) as response:
@@ -277,32 +281,34 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             call.error = repr(error)
             return False
-        self.judge.check_answer(call, response.headers, body)
+        self.checker.check_answer(call, response.headers, body)
         return response.headers.get('Connection') != 'close'
 
-    async def _served_since(self, since_s, until_s):
+    async def _served_ratio(self, since_s, until_s):
         await asyncio.sleep(max(0.0, until_s - time.monotonic()))
-        calls = [c for c in self.judge.calls if since_s <= c.sent_at_s]
-        calls = [c for c in calls if not self._is_not_owed(c)]
-        # Those of the last moment may still be on their way.
-        calls = [c for c in calls if c.sent_at_s < until_s - _TIMEOUT_S / 2]
+        calls = [c for c in self.checker.calls if since_s <= c.sent_at_s]
+        calls = [c for c in calls if not self._may_be_refused(c)]
+        # The latest calls may still be in progress.
+        calls = [
+            c for c in calls if c.sent_at_s < until_s - _CALL_TIMEOUT_S / 2
+        ]
         served = sum(c.is_served for c in calls)
         return served / max(1, len(calls)), len(calls), calls
 
-    def _is_not_owed(self, call):
-        is_void = call.key.taken_at_s is not None
-        return is_void or call.key.organisation == 'small'
+    def _may_be_refused(self, call):
+        is_revoked = call.key.revoked_at_s is not None
+        return is_revoked or call.key.organisation == 'small'
 
     async def _check_recovery(self):
         now_s = time.monotonic()
         since_s = now_s + RECOVERY_S / 2
-        ratio, count, calls = await self._served_since(
-            since_s, since_s + _TIMEOUT_S
+        ratio, count, calls = await self._served_ratio(
+            since_s, since_s + _CALL_TIMEOUT_S
         )
-        if count < CALLERS or ratio < 0.95:
+        if count < CALLER_COUNT or ratio < 0.95:
             failed = [c for c in calls if not c.is_served][:3]
             raise BrokenPromiseError(
-                f'{ratio:.2f} of {count} served in calm: {failed}'
+                f'{ratio:.2f} of {count} served after the faults: {failed}'
             )
 
     async def _check_configuration(self):
@@ -310,7 +316,7 @@
         await asyncio.sleep(2.5)
         for url in self.platform.caller_urls:
             async with self.platform.session.get(
-                f'{url}{self.newest_path}',
+                f'{url}{self.newest_route}',
                 headers={
                     'Host': 'h.example',
                     'Request-Id': _PROBE_ID,
@@ -319,46 +325,50 @@
             ) as response:
                 if response.status != 200:
                     raise BrokenPromiseError(
-                        f'{response.status} on a new route at {url}'
+                        f'status {response.status} on a new route at {url}'
                     )
 
     def _valid_key(self):
         keys = self.keys.by_organisation['balcony']
-        return next(key.text for key in keys if key.taken_at_s is None)
+        return next(key.text for key in keys if key.revoked_at_s is None)
 
     async def _check_drain(self):
         service = self.platform.services[0]
         key = f'servers/{service.name}'
-        place = self.platform.address_of(service)
+        address = self.platform.address_of(service)
         await self.platform.store.put(
-            key, service.entry(place, state='draining')
+            key, service.entry(address, state='draining')
         )
-        await asyncio.sleep(DRAIN_S)
+        await asyncio.sleep(DRAIN_START_S)
         before = len(service.runs)
         await asyncio.sleep(1.0)
         if len(service.runs) > before:
-            raise BrokenPromiseError(f'{service.name} leaves, and gets more')
-        await self.platform.store.put(key, service.entry(place))
+            raise BrokenPromiseError(
+                f'{service.name} is draining, and got new requests'
+            )
+        await self.platform.store.put(key, service.entry(address))
 
     async def _check_ending(self):
-        """An entry that is told to end, in calm, cuts nothing."""
+        """Check that a terminated entry cuts no answers off."""
         program = self.platform.entries[0]
         since_s = time.monotonic()
         program.process.terminate()
         await program.process.wait()
         cut = [
             c
-            for c in self.judge.calls
+            for c in self.checker.calls
             if c.entry == 0
-            and since_s - _TIMEOUT_S < c.sent_at_s < since_s
+            and since_s - _CALL_TIMEOUT_S < c.sent_at_s < since_s
             and 'Disconnected' in c.error
         ]
         if cut:
-            raise BrokenPromiseError(f'cut as its entry ended: {cut[:3]}')
+            raise BrokenPromiseError(
+                f'cut off as their entry ended: {cut[:3]}'
+            )
 
 
-async def run(seed, length_s=LENGTH_S):
-    """Play one seed; raise `BrokenPromiseError` where something broke."""
+async def run(seed, length_s=FAULTS_S):
+    """Run one seed; raise `BrokenPromiseError` if a check fails."""
     with contextlib.ExitStack() as exits:
         folder = exits.enter_context(tempfile.TemporaryDirectory())
         keys = soak_keys.Keys()
@@ -372,12 +382,12 @@
             try:
                 return scene, await scene.play(length_s)
             except BrokenPromiseError:
-                _keep(seed, platform)
+                _save_logs(seed, platform)
                 raise
 
 
-def _keep(seed, platform):
-    """Keep the logs of a run that failed."""
+def _save_logs(seed, platform):
+    """Save the logs of a failed run under ``target/soak``."""
     folder = pathlib.Path('target') / 'soak'
     folder.mkdir(parents=True, exist_ok=True)
     for program in platform.programs:
@@ -388,9 +398,13 @@
 @click.command()
 @click.option('--first', default=1, help='First seed.')
 @click.option('--count', default=50, help='How many seeds.')
-@click.option('--seconds', default=LENGTH_S, help='Length of the faults.')
+@click.option(
+    '--seconds',
+    default=FAULTS_S,
+    help='Time during which faults start, in seconds.',
+)
 def main(first, count, seconds):
-    """Play seeds in turn, and say what broke."""
+    """Run seeds one after another, and print what broke."""
     failed = 0
     for seed in range(first, first + count):
         try:
@@ -399,7 +413,7 @@
             failed += 1
             click.echo(f'seed {seed}: BROKEN: {error}')
             continue
-        calls = scene.judge.calls
+        calls = scene.checker.calls
         served = sum(call.is_served for call in calls)
         click.echo(
             f'seed {seed}: held, {len(planned)} faults, '
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -1,4 +1,8 @@
-"""Faults of the soak: what they do from outside, and when they come."""
+"""Faults of the soak test and their schedule.
+
+Seeded schedules draw from the sorted names of the fault functions, so that
+a renamed fault changes the schedule of every seed.
+"""
 
 import asyncio
 import dataclasses
@@ -6,17 +10,17 @@
 import re
 import signal
 
-# Long enough to be seen by every timeout of the system, short enough that
-# some come in one run.
-_SHORTEST_S = 0.2
-_LONGEST_S = 3.0
-_LONGEST_PAUSE_S = 0.8
-_START_S = 10.0
+# The longest faults exceed every timeout of the system; the others are
+# short enough for several in one run.
+_MIN_FAULT_S = 0.2
+_MAX_FAULT_S = 3.0
+_MAX_PAUSE_S = 0.8
+_START_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Planned:
-    """One fault of a run."""
+class PlannedFault:
+    """One scheduled fault of a run."""
 
     at_s: float
     kind: str
@@ -25,7 +29,7 @@
 
 
 async def delay(scene, target, for_s):
-    """Bytes of one link come late."""
+    """Delay the bytes on one link."""
     link = scene.platform.relays[target]
     link.delay_s = 0.3
     await asyncio.sleep(for_s)
@@ -33,12 +37,12 @@
 
 
 async def reset(scene, target, for_s):
-    """All connections of one link are reset."""
+    """Reset all connections of one link."""
     scene.platform.relays[target].reset()
 
 
 async def refuse(scene, target, for_s):
-    """One link takes no connections."""
+    """Refuse connections on one link."""
     link = scene.platform.relays[target]
     await link.cut()
     await asyncio.sleep(for_s)
@@ -46,7 +50,7 @@
 
 
 async def silence(scene, target, for_s):
-    """One link takes connections, and passes nothing on."""
+    """Accept connections on one link, and forward nothing."""
     link = scene.platform.relays[target]
     link.half_open()
     await asyncio.sleep(for_s)
@@ -54,7 +58,7 @@
 
 
 async def one_way(scene, target, for_s):
-    """What comes back on one link is held."""
+    """Hold back the answers on one link."""
     link = scene.platform.relays[target]
     link.one_way()
     await asyncio.sleep(for_s)
@@ -62,7 +66,7 @@
 
 
 async def pause(scene, target, for_s):
-    """One process stands still."""
+    """Suspend one process."""
     process = scene.program(target).process
     process.send_signal(signal.SIGSTOP)
     try:
@@ -72,7 +76,7 @@
 
 
 async def kill(scene, target, for_s):
-    """One process is killed, and started again a moment later."""
+    """Kill one process, and start it again a moment later."""
     program = scene.program(target)
     program.process.kill()
     await program.process.wait()
@@ -81,7 +85,7 @@
 
 
 async def terminate(scene, target, for_s):
-    """One process is told to end, and started again."""
+    """Terminate one process, and start it again once it has ended."""
     program = scene.program(target)
     program.process.terminate()
     await program.process.wait()
@@ -89,18 +93,17 @@
 
 
 async def reload(scene, target, for_s):
-    """One process is told to read its settings again."""
+    """Have one process reload its settings."""
     process = scene.program(target).process
-    # Before the interpreter runs the program's first lines, nothing in the
-    # program can keep the signal from ending it.
-    async with asyncio.timeout(_START_S):
+    # SIGHUP ends a process whose program has not yet installed a handler.
+    async with asyncio.timeout(_START_TIMEOUT_S):
         while not _handles_reload(process.pid):
             await asyncio.sleep(0.005)
     process.send_signal(signal.SIGHUP)
 
 
 def _handles_reload(pid):
-    """Whether a process has said what SIGHUP is to do."""
+    """Return whether a process handles or ignores SIGHUP."""
     status = pathlib.Path(f'/proc/{pid}/status').read_text()
     masks = re.findall(r'^Sig(?:Ign|Cgt):\s+(\w+)$', status, re.M)
     handled = int(masks[0], 16) | int(masks[1], 16)
@@ -108,7 +111,7 @@
 
 
 async def store_down(scene, target, for_s):
-    """The store answers that it can't."""
+    """Have the store answer every request with an error."""
     store = scene.platform.store
     store.is_down = True
     await asyncio.sleep(for_s)
@@ -116,42 +119,42 @@
 
 
 async def history_gone(scene, target, for_s):
-    """The store drops what changed before."""
+    """Have the store drop its history of changes."""
     await scene.platform.store.drop_history()
 
 
 async def store_goes_back(scene, target, for_s):
-    """The store comes back from a copy, and all is written again later."""
-    await scene.store_goes_back(for_s)
+    """Restore the store from a backup, and write the lost keys again later."""
+    await scene.restore_backup(for_s)
 
 
 async def configuration(scene, target, for_s):
-    """A new version of the configuration is published."""
+    """Publish a new version of the configuration."""
     await scene.publish()
 
 
 async def key_replaced(scene, target, for_s):
-    """A key is taken away, and its organisation gets another."""
+    """Revoke an API key, and give its organisation another."""
     await scene.replace_key()
 
 
 async def engine_restart(scene, target, for_s):
-    """An engine restarts empty, and is listed anew."""
+    """Restart an engine without adapters, and list its new incarnation."""
     await scene.restart_engine(int(target))
 
 
 async def torn_stream(scene, target, for_s):
-    """An engine breaks its next stream off."""
+    """Have an engine abort its next stream."""
     scene.platform.engines[int(target)].abort_after_event = 2
 
 
 async def lost_answer(scene, target, for_s):
-    """A service runs a request, and its answer is lost."""
+    """Have a service run a request and lose its answer."""
     scene.platform.services[int(target)].aborts_left += 1
 
 
-# With what each kind is done to: a link, a process, an engine, a service.
-KINDS = {
+# The kind of target of each fault.
+TARGET_KINDS = {
     delay: 'link',
     reset: 'link',
     refuse: 'link',
@@ -170,30 +173,30 @@
     torn_stream: 'engine',
     lost_answer: 'service',
 }
-BY_NAME = {kind.__name__: kind for kind in KINDS}
+BY_NAME = {kind.__name__: kind for kind in TARGET_KINDS}
 
 
-def plan(source, targets, length_s):
-    """Return the faults of a run, some of which overlap.
+def plan(rng, targets, length_s):
+    """Return the schedule of the faults of a run, some of which overlap.
 
     Parameters
     ----------
     targets
-        Names of what there is of each sort in `KINDS`.
+        Names of the targets by the kinds of targets in `TARGET_KINDS`.
     """
     names = sorted(BY_NAME)
     found = []
     at_s = 0.0
     while at_s < length_s:
-        kind = source.choice(names)
-        sort = KINDS[BY_NAME[kind]]
+        kind = rng.choice(names)
+        target_kind = TARGET_KINDS[BY_NAME[kind]]
         found.append(
-            Planned(
+            PlannedFault(
                 at_s,
                 kind,
-                source.choice(targets[sort]),
-                source.uniform(_SHORTEST_S, _LONGEST_S),
+                rng.choice(targets[target_kind]),
+                rng.uniform(_MIN_FAULT_S, _MAX_FAULT_S),
             )
         )
-        at_s += source.uniform(0.0, _LONGEST_PAUSE_S)
+        at_s += rng.uniform(0.0, _MAX_PAUSE_S)
     return found
--- a/tests/soak_keys.py
+++ b/tests/soak_keys.py
@@ -1,40 +1,45 @@
-"""Organisations of the soak: their keys, their limits, and what must hold."""
+"""API keys and usage limits of the organisations in the soak test."""
 
 import collections
 import dataclasses
 import time
 
-# As in the settings of the stand-in.
-VOID_WITHIN_S = 5.0
+# As in the settings of the platform's stand-in.
+REVOKED_WITHIN_S = 5.0
 WINDOW_S = 8.0
-# The limits of the pages: a share over the limit, and some units.
-OVERAGE = 0.25
-TOLERANCE = 60.0
-# Faults last 3 s, and an entry notices its own silent link by then.
-_KNOWN_AFTER_S = 7.0
-# Units of each request: none says its tokens.
-COST = 10
-# Far above what the callers send, and far below it.
+# Usage above the limit that the documentation allows: a share of the limit
+# and a number of units.
+OVERAGE_RATIO = 0.25
+TOLERANCE_UNITS = 60.0
+# Faults last at most 3 s, and an entry detects its own silent link in the
+# rest of this time.
+_MAX_PROPAGATION_S = 7.0
+# Units of each request, since none declares its tokens.
+UNITS_PER_REQUEST = 10
+# Far above and far below the usage of the callers.
 LARGE_PER_S = 100_000
 SMALL_PER_S = 60
 
 
 @dataclasses.dataclass
 class Key:
-    """An API key, when it was added, and from when on it is to be void."""
+    """An API key, with the times of its addition and revocation."""
 
     text: str
     organisation: str
     added_at_s: float = 0.0
-    taken_at_s: float | None = None
+    revoked_at_s: float | None = None
 
     def is_known(self):
-        """Whether entries that are out of touch for a while know it."""
-        return time.monotonic() >= self.added_at_s + _KNOWN_AFTER_S
+        """Return whether all entries must know the key by now.
+
+        Entries that a fault cuts off for a while learn of it late.
+        """
+        return time.monotonic() >= self.added_at_s + _MAX_PROPAGATION_S
 
 
 class Keys:
-    """The organisations, as they are published."""
+    """The organisations and their keys, as they are published."""
 
     def __init__(self):
         self.by_organisation = {
@@ -44,55 +49,54 @@
         self._count = 2
 
     def tenants(self):
-        """Return what the configuration says of them."""
+        """Return the organisations as the configuration lists them."""
         return [
             {
                 'name': name,
-                'apiKeys': [k.text for k in keys if k.taken_at_s is None],
+                'apiKeys': [k.text for k in keys if k.revoked_at_s is None],
                 'unit': 'token_count',
-                'uncachedTokens': COST,
+                'uncachedTokens': UNITS_PER_REQUEST,
                 'ratePerS': SMALL_PER_S if name == 'small' else LARGE_PER_S,
                 'burst': SMALL_PER_S if name == 'small' else LARGE_PER_S,
             }
             for name, keys in self.by_organisation.items()
         ]
 
-    def replace(self, source):
-        """Take one key away, and give its organisation a new one."""
-        keys = self.by_organisation[
-            source.choice(sorted(self.by_organisation))
-        ]
-        valid = [key for key in keys if key.taken_at_s is None]
-        # One stays that all entries know.
-        taken = valid[0] if valid[-1].is_known() else valid[-1]
-        # Until it is acknowledged, it may be served for any time.
-        taken.taken_at_s = float('inf')
+    def replace(self, rng):
+        """Revoke one key, and give its organisation a new one."""
+        keys = self.by_organisation[rng.choice(sorted(self.by_organisation))]
+        valid = [key for key in keys if key.revoked_at_s is None]
+        # Keep a key that all entries know.
+        revoked = valid[0] if valid[-1].is_known() else valid[-1]
+        # The time limit of its revocation starts when the store has
+        # acknowledged the change.
+        revoked.revoked_at_s = float('inf')
         keys.append(
             Key(
-                f'{taken.organisation}-{self._count}',
-                taken.organisation,
+                f'{revoked.organisation}-{self._count}',
+                revoked.organisation,
                 added_at_s=time.monotonic(),
             )
         )
         self._count += 1
-        return taken
+        return revoked
 
-    def pick(self, source):
-        """Return a key that a caller uses: now and then one that is void."""
-        keys = source.choice(list(self.by_organisation.values()))
-        return source.choice([key for key in keys if key.is_known()][-3:])
+    def pick(self, rng):
+        """Return a key for a caller to use; some are revoked."""
+        keys = rng.choice(list(self.by_organisation.values()))
+        return rng.choice([key for key in keys if key.is_known()][-3:])
 
 
 def check(calls, ran):
-    """Yield what is wrong with what ran, by the keys of its callers.
+    """Yield a text for each run that its caller's key did not permit.
 
     Parameters
     ----------
     ran
-        For each run its id, its time, and the headers that came with it.
+        The request ID, the time and the headers of each run.
     """
     by_id = {call.id: call for call in calls}
-    used = collections.defaultdict(list)
+    times_s_by_organisation = collections.defaultdict(list)
     for request_id, at_s, headers in ran:
         call = by_id.get(request_id)
         if call is None:
@@ -101,34 +105,38 @@
         if named != call.key.organisation:
             yield f'{call.id} of {call.key.organisation} ran for {named}'
         if 'Authorization' in headers:
-            yield f'{call.id} came with its key'
-        taken_at_s = call.key.taken_at_s
-        if taken_at_s and call.sent_at_s > taken_at_s + VOID_WITHIN_S:
-            late_s = call.sent_at_s - taken_at_s
-            yield f'{call.id} ran {late_s:.1f} s after its key was taken'
-        used[named].append(at_s)
-    most = (1 + OVERAGE) * (WINDOW_S + 1) * SMALL_PER_S + TOLERANCE
-    units = _most_in_window(used['small']) * COST
-    if units > most:
-        yield f'{units} units ran in {WINDOW_S} s, {most} are allowed'
+            yield f'{call.id} reached the backend server with its key'
+        revoked_at_s = call.key.revoked_at_s
+        if revoked_at_s and call.sent_at_s > revoked_at_s + REVOKED_WITHIN_S:
+            late_s = call.sent_at_s - revoked_at_s
+            yield f'{call.id} ran {late_s:.1f} s after its key was revoked'
+        times_s_by_organisation[named].append(at_s)
+    max_units = (1 + OVERAGE_RATIO) * (
+        WINDOW_S + 1
+    ) * SMALL_PER_S + TOLERANCE_UNITS
+    units = (
+        _most_in_window(times_s_by_organisation['small']) * UNITS_PER_REQUEST
+    )
+    if units > max_units:
+        yield f'{units} units ran in {WINDOW_S} s, {max_units} are allowed'
 
 
 def may_be_denied(call):
-    """Whether a key that is refused may be void."""
-    return call.key.taken_at_s is not None
+    """Return whether the key of a call may be refused."""
+    return call.key.revoked_at_s is not None
 
 
-def note_acknowledged(key):
-    """Take note that its end is published."""
-    key.taken_at_s = time.monotonic()
+def record_revocation(key):
+    """Record that the store has accepted the revocation of a key."""
+    key.revoked_at_s = time.monotonic()
 
 
 def _most_in_window(times_s):
     times_s = sorted(times_s)
     first = 0
-    most = 0
+    max_units = 0
     for last, at_s in enumerate(times_s):
         while at_s - times_s[first] > WINDOW_S:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_units = max(max_units, last - first + 1)
+    return max_units
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -1,4 +1,4 @@
-"""The bench of the policy measures what callers would see."""
+"""Tests that the policy benchmark measures what callers would see."""
 
 import asyncio
 
@@ -30,20 +30,20 @@
     return slots, run._make_turns(engine, slots)
 
 
-async def _keep_turn(turns, order, kept_s):
+async def _hold_turn(turns, order, held_s):
     async with turns.turn(_KEY, order):
-        await asyncio.sleep(kept_s)
+        await asyncio.sleep(held_s)
 
 
 class TestDeadline:
     @pytest.mark.parametrize('kind', ['hash', 'lacewingpitch'])
     def test_holds_for_the_turn_under_every_policy(self, kind):
-        """A policy looks good since its callers wait for ever.
+        """A policy scores well because its callers wait without a limit.
 
-        One request keeps the only turn for longer than another's
-        deadline.  With a deadline for the adapter alone the baselines
-        started requests late and counted them as served without a
-        stall, where ours refused them and counted 30 s.
+        One request holds the only turn for longer than another one's
+        deadline.  If the deadline covered only the wait for the adapter,
+        the baselines would start requests late and count them as served
+        without a stall, where the product refuses them and counts 30 s.
         """
 
         async def scenario():
@@ -51,11 +51,11 @@
             request = policy_workloads.Request(0.0, 1, 1, 0, 0, 10)
             order = policy_workloads.make_order(request, _KEY, _DEADLINE_S)
             first = asyncio.create_task(
-                _keep_turn(turns, order, 2 * _DEADLINE_S)
+                _hold_turn(turns, order, 2 * _DEADLINE_S)
             )
             await asyncio.sleep(1.0)
             with pytest.raises(errors.RefusalError) as refused:
-                await _keep_turn(turns, order, 0.0)
+                await _hold_turn(turns, order, 0.0)
             assert asyncio.get_running_loop().time() <= _DEADLINE_S + 1.0
             assert refused.value.outcome is errors.Outcome.NOT_RUN
             await first
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short seeded run, and what its checks find."""
+"""Tests of the soak test: its checks, and a short seeded run."""
 
 import random
 
@@ -9,8 +9,10 @@
 from tests import soak_faults
 from tests import soak_keys
 
-SIGNED = {standin.SIGNATURE: 's'}
-WHOLE = b''.join(b'id: %d\ndata: x\n\n' % number for number in soak.EVENTS)
+SIGNED_HEADERS = {standin.SIGNATURE: 's'}
+WHOLE_STREAM = b''.join(
+    b'id: %d\ndata: x\n\n' % number for number in soak.EVENT_NUMBERS
+)
 TARGETS = {
     'link': ['store'],
     'process': ['entry-1'],
@@ -21,7 +23,7 @@
 
 
 class FakePlatform:
-    """What ran, as the backend servers saw it."""
+    """Backend servers with the runs that they recorded."""
 
     def __init__(self):
         self.engines = [standin.Engine('i-1')]
@@ -29,14 +31,16 @@
 
 
 @pytest.fixture
-def judge():
-    return soak.Judge(FakePlatform())
+def checker():
+    return soak.ResultChecker(FakePlatform())
 
 
-def answer(judge, kind, status=200, headers=SIGNED, body=WHOLE):
-    call = judge.begin(kind, 0)
+def answer(
+    checker, kind, status=200, headers=SIGNED_HEADERS, body=WHOLE_STREAM
+):
+    call = checker.start_call(kind, 0)
     call.status = status
-    judge.check_answer(call, headers, body)
+    checker.check_answer(call, headers, body)
     return call
 
 
@@ -55,66 +59,68 @@
         assert any(end_s > start_s for end_s, start_s in pairs)
 
 
-class TestJudge:
-    def test_whole_answers_are_well(self, judge):
-        answer(judge, 'chat')
-        call = judge.begin('command', 0)
+class TestResultChecker:
+    def test_accepts_whole_answers(self, checker):
+        answer(checker, 'chat')
+        call = checker.start_call('command', 0)
         call.status = 200
-        judge.check_answer(call, SIGNED, b'ran ' + call.id.encode())
-        judge.check_runs()
+        checker.check_answer(call, SIGNED_HEADERS, b'ran ' + call.id.encode())
+        checker.check_runs()
 
     @pytest.mark.parametrize(
         ('kind', 'fields'),
         [
-            ('chat', {'body': WHOLE.replace(b'id: 3', b'id: 2')}),
-            ('chat', {'body': WHOLE[:30]}),
+            ('chat', {'body': WHOLE_STREAM.replace(b'id: 3', b'id: 2')}),
+            ('chat', {'body': WHOLE_STREAM[:30]}),
             ('chat', {'headers': {}}),
             ('lookup', {'body': b'ran lookup-of-another'}),
             ('lookup', {'status': 404}),
         ],
         ids=['doubled', 'cut', 'unsigned', 'of another', 'denied'],
     )
-    def test_a_wrong_answer_is_found(self, judge, kind, fields):
-        answer(judge, kind, **fields)
+    def test_finds_a_wrong_answer(self, checker, kind, fields):
+        answer(checker, kind, **fields)
         with pytest.raises(soak.BrokenPromiseError):
-            judge.check_runs()
+            checker.check_runs()
 
-    def test_a_second_run_is_found(self, judge):
-        call = judge.begin('command', 0)
-        judge.platform.services[0].runs += [call.id, call.id]
+    def test_finds_a_second_run(self, checker):
+        call = checker.start_call('command', 0)
+        checker.platform.services[0].runs += [call.id, call.id]
         with pytest.raises(soak.BrokenPromiseError, match='ran 2 times'):
-            judge.check_runs()
+            checker.check_runs()
 
-    def test_a_false_refusal_is_found(self, judge):
-        call = answer(judge, 'draft', status=503)
-        judge.platform.engines[0].ran.append(call.id)
+    def test_finds_a_refused_request_that_ran(self, checker):
+        call = answer(checker, 'draft', status=503)
+        checker.platform.engines[0].ran.append(call.id)
         with pytest.raises(soak.BrokenPromiseError, match='and ran'):
-            judge.check_runs()
+            checker.check_runs()
 
-    def test_a_run_that_nobody_asked_for_is_found(self, judge):
-        judge.platform.services[0].runs.append('command-of-nobody')
-        with pytest.raises(soak.BrokenPromiseError, match='nobody sent'):
-            judge.check_runs()
+    def test_finds_a_run_that_no_caller_sent(self, checker):
+        checker.platform.services[0].runs.append('command-of-nobody')
+        with pytest.raises(soak.BrokenPromiseError, match='no caller sent'):
+            checker.check_runs()
 
-    def test_an_adapter_too_many_is_found(self, judge):
-        judge.platform.engines[0].has_crashed = True
-        with pytest.raises(soak.BrokenPromiseError, match='too many'):
-            judge.check_runs()
+    def test_finds_more_adapters_than_slots(self, checker):
+        checker.platform.engines[0].has_crashed = True
+        with pytest.raises(
+            soak.BrokenPromiseError, match='more adapters than'
+        ):
+            checker.check_runs()
 
 
 class TestKeys:
-    """What the checks of keys and limits find."""
+    """Checks of API keys and usage limits."""
 
-    def run(self, judge, key, at_s=None, **headers):
-        call = judge.begin('lookup', 0, key)
+    def run(self, checker, key, at_s=None, **headers):
+        call = checker.start_call('lookup', 0, key)
         call.status = 200
         at_s = call.sent_at_s if at_s is None else at_s
-        judge.platform.services[0].run_log.append((call.id, at_s, headers))
+        checker.platform.services[0].run_log.append((call.id, at_s, headers))
         return call
 
-    def test_a_run_for_its_organisation_is_well(self, judge):
-        self.run(judge, soak_keys.Key('k', 'garden'), Tenant='garden')
-        judge.check_runs()
+    def test_accepts_a_run_for_its_organisation(self, checker):
+        self.run(checker, soak_keys.Key('k', 'garden'), Tenant='garden')
+        checker.check_runs()
 
     @pytest.mark.parametrize(
         'headers',
@@ -125,31 +131,31 @@
         ],
         ids=['of nobody', 'of another', 'with its key'],
     )
-    def test_another_is_found(self, judge, headers):
-        self.run(judge, soak_keys.Key('k', 'garden'), **headers)
+    def test_finds_a_run_for_another_organisation(self, checker, headers):
+        self.run(checker, soak_keys.Key('k', 'garden'), **headers)
         with pytest.raises(soak.BrokenPromiseError):
-            judge.check_runs()
+            checker.check_runs()
 
-    def test_a_run_with_a_void_key_is_found(self, judge):
+    def test_finds_a_run_with_a_revoked_key(self, checker):
         key = soak_keys.Key('k', 'garden')
-        call = self.run(judge, key, Tenant='garden')
-        key.taken_at_s = call.sent_at_s - 4.0
-        judge.check_runs()
-        key.taken_at_s = call.sent_at_s - 6.0
-        with pytest.raises(soak.BrokenPromiseError, match='was taken'):
-            judge.check_runs()
-
-    def test_more_than_the_limit_is_found(self, judge):
+        call = self.run(checker, key, Tenant='garden')
+        key.revoked_at_s = call.sent_at_s - 4.0
+        checker.check_runs()
+        key.revoked_at_s = call.sent_at_s - 6.0
+        with pytest.raises(soak.BrokenPromiseError, match='was revoked'):
+            checker.check_runs()
+
+    def test_finds_usage_above_the_limit(self, checker):
         key = soak_keys.Key('k', 'small')
         for number in range(100):
-            self.run(judge, key, at_s=number / 20, Tenant='small')
+            self.run(checker, key, at_s=number / 20, Tenant='small')
         with pytest.raises(soak.BrokenPromiseError, match='units'):
-            judge.check_runs()
+            checker.check_runs()
 
 
 class TestSoak:
-    async def test_a_short_run_holds(self):
-        """Real processes under faults that overlap, and then in calm."""
+    async def test_a_short_run_passes(self):
+        """Real processes recover from overlapping faults."""
         scene, planned = await soak.run(seed=1, length_s=4.0)
         assert planned
-        assert any(call.is_served for call in scene.judge.calls)
+        assert any(call.is_served for call in scene.checker.calls)
