--- a/benchmarks/path_hop.py
+++ b/benchmarks/path_hop.py
@@ -1,8 +1,8 @@
-"""What our own code costs for an event on its way through one process.
+"""Processor time of the product's code to relay an event in one process.
 
-Run ``python -m benchmarks.path_hop``.  It feeds the streams by hand, with
-neither sockets nor peers, so the figures hold the library's reader and
-our code alone.  Compare two versions by running both in turns.
+Run ``python -m benchmarks.path_hop``.  It feeds the streams directly, with
+neither sockets nor peers, so that the figures contain the library's reader
+and the product's code alone.  Run two versions in turns to compare them.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class Writer:
-    """Takes a response's bytes."""
+    """Counts the bytes of a response."""
 
     def __init__(self):
         self.byte_count = 0
@@ -40,7 +40,7 @@
 
 
 class Request:
-    """A request whose caller waits."""
+    """A request without headers, whose caller stays connected."""
 
     headers = {}
     transport = None
@@ -58,7 +58,7 @@
 
 
 def make_content():
-    """Return a body to be fed by hand."""
+    """Return a response body without a socket."""
     loop = asyncio.get_running_loop()
     protocol = client_proto.ResponseHandler(loop)
     protocol.connection_made(asyncio.Transport())
@@ -66,7 +66,7 @@
 
 
 def entry_stream(content, writer):
-    """Return the entry's relaying of one stream."""
+    """Return the coroutine by which an entry relays one stream."""
     order = work.WorkOrder(
         request_id='1',
         attempt=0,
@@ -93,7 +93,7 @@
 
 
 def sidecar_stream(content, writer):
-    """Return the sidecar's relaying of one stream."""
+    """Return the coroutine by which a sidecar relays one stream."""
     delivery = runs.Delivery(Request(), {})
     delivery.response = writer
     found = engine.EngineAnswer(
@@ -103,7 +103,7 @@
 
 
 def bare_stream(content, writer):
-    """Return the least that can relay a stream."""
+    """Return a coroutine that relays a stream and does nothing else."""
 
     async def relay():
         while chunk := await content.readany():
@@ -113,7 +113,7 @@
 
 
 async def measure(make_stream, stream_count, event_count):
-    """Return the processor time of one event, in microseconds."""
+    """Return the processor time per event, in microseconds."""
     contents = [make_content() for _ in range(stream_count)]
     writer = Writer()
     tasks = [asyncio.create_task(make_stream(c, writer)) for c in contents]
@@ -123,7 +123,8 @@
         event = EVENT % number
         for content in contents:
             content.feed_data(event)
-        # The tasks are woken up by this turn and wait again by the next.
+        # The first iteration of the loop wakes the tasks up; by the second
+        # they wait again.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     used_s = time.process_time() - started_s
@@ -143,7 +144,7 @@
 @click.option('--streams', default=100, show_default=True)
 @click.option('--events', default=300, show_default=True)
 def main(streams, events):
-    """Print microseconds for an event in entry, sidecar and the least."""
+    """Print microseconds per event of a bare relay, entry and sidecar."""
     for make_stream in (bare_stream, entry_stream, sidecar_stream):
         found = [
             uvloop.run(measure(make_stream, streams, events)) for _ in range(5)
--- a/benchmarks/path_relay.py
+++ b/benchmarks/path_relay.py
@@ -1,8 +1,8 @@
-"""Hops that do nothing but relay, to be compared with the entry.
+"""Relays that do nothing else, for comparison with the entry.
 
-``http`` is the HTTP library's own server and client with no code of ours
+``http`` is the HTTP library's own server and client with no product code
 between them.  ``bytes`` moves bytes between two connections, which is
-the least that one process of the event loop can do: its system calls.
+the minimum for one process with this event loop: its system calls.
 `benchmarks.path` starts them.
 """
 
@@ -22,7 +22,7 @@
 
 
 class HttpRelay:
-    """Passes requests on to one port by the HTTP library."""
+    """Forwards requests to one port with the HTTP library."""
 
     def __init__(self, session, port):
         self._session = session
@@ -45,12 +45,12 @@
         return response
 
 
-class Half(asyncio.Protocol):
-    """One of two connections whose bytes go to each other."""
+class PairedConnection(asyncio.Protocol):
+    """One of a pair of connections, which writes what the other one reads."""
 
     def __init__(self, port=None):
         self._port = port
-        self._early = []
+        self._buffered = []
         self.transport = None
         self.other = None
 
@@ -61,17 +61,19 @@
 
     async def _connect(self):
         loop = asyncio.get_running_loop()
-        _, other = await loop.create_connection(Half, IP, self._port)
+        _, other = await loop.create_connection(
+            PairedConnection, IP, self._port
+        )
         other.other = self
         self.other = other
-        for data in self._early:
+        for data in self._buffered:
             other.transport.write(data)
 
     def data_received(self, data):
         if self.other:
             self.other.transport.write(data)
         else:
-            self._early.append(data)
+            self._buffered.append(data)
 
     def connection_lost(self, _error):
         if self.other:
@@ -79,7 +81,7 @@
 
 
 async def listen_http(ports):
-    """Relay by the HTTP library; return the ports listened on."""
+    """Relay with the HTTP library; return the ports it listens on."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0), auto_decompress=False
     )
@@ -96,12 +98,15 @@
 
 
 async def listen_bytes(ports):
-    """Relay bytes; return the ports listened on."""
+    """Relay bytes; return the ports it listens on."""
     loop = asyncio.get_running_loop()
     found = []
     for port in ports:
         server = await loop.create_server(
-            functools.partial(Half, port), IP, 0, family=socket.AF_INET
+            functools.partial(PairedConnection, port),
+            IP,
+            0,
+            family=socket.AF_INET,
         )
         found.append(server.sockets[0].getsockname()[1])
     return found
@@ -120,5 +125,5 @@
 @click.argument('kind', type=click.Choice(KINDS))
 @click.argument('ports', nargs=-1, type=int)
 def main(kind, ports):
-    """Relay to each of some ports, and print the ports to call."""
+    """Relay to each of some ports, and print the ports it listens on."""
     uvloop.run(serve(kind, ports))
--- a/benchmarks/retries.py
+++ b/benchmarks/retries.py
@@ -3,7 +3,7 @@
 Run ``python -m benchmarks.retries``.  A seeded loop in virtual time: one
 entry instance, ten backend servers, 200 requests a second for 60 s; in
 the middle third a share of the servers fails every call.  It compares no
-retries, three tries without a budget, the budget alone, and the budget
+retries, three attempts without a budget, the budget alone, and the budget
 with ejection.
 """
 
@@ -15,8 +15,8 @@
 
 SERVERS = 10
 REQUESTS_PER_S = 200
-LENGTH_S = 60
-TRIES = 3
+DURATION_S = 60
+MAX_ATTEMPTS = 3
 
 
 class VirtualClock:
@@ -30,8 +30,8 @@
         return self.now_s
 
 
-class Unlimited:
-    """A budget without a bound."""
+class UnlimitedBudget:
+    """A retry budget without a limit."""
 
     def deposit(self):
         pass
@@ -40,8 +40,8 @@
         return True
 
 
-class Nothing:
-    """An ejector that ejects nothing."""
+class NoEjection:
+    """An ejector that ejects no server."""
 
     def allowed(self, names):
         return list(names)
@@ -65,16 +65,16 @@
         )
 
 
-def run(budget, ejector, clock, failing, tries=TRIES):
+def run(budget, ejector, clock, failing, tries=MAX_ATTEMPTS):
     source = random.Random(7)
     names = [f'server-{n}' for n in range(SERVERS)]
     counts = Counts()
-    for number in range(REQUESTS_PER_S * LENGTH_S):
+    for number in range(REQUESTS_PER_S * DURATION_S):
         clock.now_s = number / REQUESTS_PER_S
-        in_outage = LENGTH_S / 3 <= clock.now_s < 2 * LENGTH_S / 3
+        in_outage = DURATION_S / 3 <= clock.now_s < 2 * DURATION_S / 3
         budget.deposit()
         order = source.sample(names, SERVERS)
-        calls, served = one(
+        calls, served = send_request(
             ejector.allowed(order)[:tries],
             budget,
             ejector,
@@ -87,7 +87,7 @@
     return counts
 
 
-def one(order, budget, ejector, failing):
+def send_request(order, budget, ejector, failing):
     calls = 0
     for number, name in enumerate(order):
         if number and not budget.try_withdraw():
@@ -110,13 +110,13 @@
             clock = VirtualClock()
             limited = kind in ('budget', 'both')
             found = run(
-                retry_budget.RetryBudget() if limited else Unlimited(),
+                retry_budget.RetryBudget() if limited else UnlimitedBudget(),
                 ejection.Ejector(clock, random.Random(1))
                 if kind == 'both'
-                else Nothing(),
+                else NoEjection(),
                 clock,
                 failing,
-                1 if kind == 'none' else TRIES,
+                1 if kind == 'none' else MAX_ATTEMPTS,
             )
             cells.append(found.line())
         print(f'{failing:4d}/10', *cells)
--- a/benchmarks/silence.py
+++ b/benchmarks/silence.py
@@ -1,10 +1,10 @@
-"""What callers meet while one sidecar of three is frozen.
+"""Success and latency of requests while one sidecar of three is frozen.
 
-Run ``python -m benchmarks.silence``.  Real processes: one entry, three
-sidecars with stand-in engines.  Requests that may run twice come at a
-steady rate, a third of them streamed; a sidecar is frozen for a while in
-the middle.  Of the requests that began meanwhile it prints how many were
-served, how long the first byte took, and the runs per request.
+Run ``python -m benchmarks.silence``.  It starts real processes: one entry,
+and three sidecars with stand-in engines.  Repeatable requests arrive at a
+constant rate, a third of them streamed; a sidecar is frozen for some time
+in the middle.  For the requests that began in this time it prints how many
+were served, how long the first byte took, and the runs per request.
 """
 
 import asyncio
@@ -23,24 +23,24 @@
 CUSTOMER = 'again'
 TOKENS = 10
 DEADLINE_S = 15.0
-WARM_S = 4.0
+WARM_UP_S = 4.0
 FROZEN_S = 8.0
-CALM_S = 2.0
+AFTER_S = 2.0
 
 
 class Caller:
-    """Sends requests and keeps what became of each."""
+    """Sends requests and records their outcomes."""
 
     def __init__(self, deployment):
         self._deployment = deployment
-        self.began_s = []
+        self.started_at_s = []
         self.waits_s = []
         self.outcomes = []
 
-    async def ask(self, number):
-        index = len(self.began_s)
-        began_s = time.monotonic()
-        self.began_s.append(began_s)
+    async def send(self, number):
+        index = len(self.started_at_s)
+        started_at_s = time.monotonic()
+        self.started_at_s.append(started_at_s)
         self.waits_s.append(None)
         self.outcomes.append('lost')
         try:
@@ -53,7 +53,7 @@
                 user=str(number),
             ) as response:
                 await response.content.readany()
-                self.waits_s[index] = time.monotonic() - began_s
+                self.waits_s[index] = time.monotonic() - started_at_s
                 await response.read()
                 self.outcomes[index] = response.headers.get(
                     work.OUTCOME_HEADER, 'served'
@@ -63,8 +63,8 @@
 
 
 async def runs(deployment):
-    truths = [await deployment.engine_record(e) for e in deployment.engines]
-    return sum(len(truth.runs) for truth in truths)
+    records = [await deployment.engine_record(e) for e in deployment.engines]
+    return sum(len(record.runs) for record in records)
 
 
 async def measure(rate_per_s):
@@ -81,26 +81,28 @@
             )
             await deployment.publish()
             caller = Caller(deployment)
-            asking = []
-            began_s = time.monotonic()
-            frozen_s = woken_s = 0.0
-            end_s = WARM_S + FROZEN_S + CALM_S
-            while (now_s := time.monotonic() - began_s) < end_s:
-                if not frozen_s and now_s >= WARM_S:
+            pending = []
+            started_at_s = time.monotonic()
+            frozen_s = resumed_s = 0.0
+            end_s = WARM_UP_S + FROZEN_S + AFTER_S
+            while (now_s := time.monotonic() - started_at_s) < end_s:
+                if not frozen_s and now_s >= WARM_UP_S:
                     deployment.sidecars[0].freeze()
                     frozen_s = time.monotonic()
-                if not woken_s and now_s >= WARM_S + FROZEN_S:
+                if not resumed_s and now_s >= WARM_UP_S + FROZEN_S:
                     deployment.sidecars[0].resume()
-                    woken_s = time.monotonic()
-                asking.append(asyncio.create_task(caller.ask(len(asking))))
+                    resumed_s = time.monotonic()
+                pending.append(asyncio.create_task(caller.send(len(pending))))
                 await asyncio.sleep(1 / rate_per_s)
-            await asyncio.gather(*asking)
-            show(caller, frozen_s, woken_s, await runs(deployment))
+            await asyncio.gather(*pending)
+            show(caller, frozen_s, resumed_s, await runs(deployment))
 
 
-def show(caller, frozen_s, woken_s, run_count):
+def show(caller, frozen_s, resumed_s, run_count):
     found = [
-        n for n, s in enumerate(caller.began_s) if frozen_s <= s < woken_s
+        n
+        for n, s in enumerate(caller.started_at_s)
+        if frozen_s <= s < resumed_s
     ]
     served = [n for n in found if caller.outcomes[n] == 'served']
     waits_s = [caller.waits_s[n] for n in served]
@@ -110,7 +112,9 @@
     print(f'served                    {len(served) / len(found):.3f}')
     print(f'over 1 s to first byte    {slow_count / len(found):.3f}')
     print(f'p95, worst first byte s   {p95_s:.2f} {max(waits_s):.2f}')
-    print(f'runs per request, whole   {run_count / len(caller.began_s):.3f}')
+    print(
+        f'runs per request, whole   {run_count / len(caller.started_at_s):.3f}'
+    )
 
 
 @click.command()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through measured costs, and how the costs are measured."""
+"""Measures costs at several sizes, and fits lines to them."""
 
 from collections.abc import Callable, Sequence
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Slope:
-    """A line through measured costs."""
+    """Measured costs by size, to which a line is fitted."""
 
     subject: str
     unit: str
@@ -22,7 +22,7 @@
     costs: Sequence[float]
 
     def fit(self):
-        """Return slope, intercept and relative residual."""
+        """Return slope, intercept, and residual relative to the mean cost."""
         slope, intercept = numpy.polyfit(self.sizes, self.costs, 1)
         fitted = numpy.polyval((slope, intercept), self.sizes)
         residual = numpy.sqrt(numpy.mean((fitted - self.costs) ** 2))
@@ -30,7 +30,7 @@
 
 
 def held_bytes(build: Callable[..., object], *arguments: object) -> int:
-    """Return the memory that what `build` returns keeps."""
+    """Return the memory that the result of `build` occupies, in bytes."""
     gc.collect()
     tracemalloc.start()
     kept = build(*arguments)
@@ -44,7 +44,10 @@
 def least_us(
     count: int, work: Callable[..., object], *arguments: object
 ) -> float:
-    """Return the least processor time of `work` for each of `count`."""
+    """Return the processor time of `work` per item, in microseconds.
+
+    It is the least of `REPEATS` runs of `count` items.
+    """
     found = []
     for _ in range(REPEATS):
         started_s = time.process_time()
@@ -60,7 +63,7 @@
 
 
 def show(slopes: Sequence[Slope]) -> None:
-    """Print each line as a row of a table."""
+    """Print each slope as a row of a Markdown table."""
     for found in slopes:
         slope, intercept, residual = found.fit()
         unit = f' {found.unit}' if found.unit else ''
--- a/benchmarks/store_return.py
+++ b/benchmarks/store_return.py
@@ -1,4 +1,4 @@
-"""Calls to a store that comes back from a copy, in virtual time."""
+"""Calls to a store that is restored from a backup, in virtual time."""
 
 import asyncio
 import collections
@@ -12,14 +12,14 @@
 
 PAGE_ITEMS = 500
 DOWN_S = 1.5
-WATCHED_S = 5.0
+COUNTED_S = 5.0
 BUCKET_S = 0.1
-ANSWER_S = 0.004
+CALL_DURATION_S = 0.004
 SIZES = ((6, 12), (30, 60), (300, 1000))
 
 
-class CountedStore:
-    """A store whose calls are counted by the moment they come."""
+class CountingStore:
+    """A store that counts its calls by their time."""
 
     def __init__(self, item_count):
         self.epoch = 1
@@ -30,13 +30,13 @@
     async def call(self):
         now_s = asyncio.get_running_loop().time()
         self.calls[int(now_s / BUCKET_S)] += 1
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(CALL_DURATION_S)
         if self.is_down:
             raise errors.PlatformError('down')
 
 
-class Reader:
-    """What one process sees of it."""
+class StoreReader:
+    """Reads and watches the store for one process."""
 
     def __init__(self, store):
         self._store = store
@@ -50,8 +50,8 @@
 
     async def watch(self, _prefix, _after, wait_s):
         await self._store.call()
-        until_s = asyncio.get_running_loop().time() + wait_s
-        while asyncio.get_running_loop().time() < until_s:
+        end_s = asyncio.get_running_loop().time() + wait_s
+        while asyncio.get_running_loop().time() < end_s:
             await asyncio.sleep(0.01)
             if self._store.is_down:
                 raise errors.PlatformError('cut')
@@ -61,14 +61,14 @@
         return 1, ()
 
 
-async def play(entry_count, item_count):
-    """Return calls an entry in the watched time, and the most in 1 s."""
+async def measure(entry_count, item_count):
+    """Return the calls per entry after the restore, and the most in 1 s."""
     clock = virtual_time.LoopClock()
-    store = CountedStore(item_count)
+    store = CountingStore(item_count)
     source = random.Random(1)
     for _ in range(entry_count):
         watcher = store_module.PrefixWatcher(
-            Reader(store),
+            StoreReader(store),
             '',
             1.1,
             0.0,
@@ -85,21 +85,21 @@
     store.is_down = False
     store.epoch += 1
     store.calls.clear()
-    await asyncio.sleep(WATCHED_S)
+    await asyncio.sleep(COUNTED_S)
     first = min(store.calls)
     buckets = [
-        store.calls[first + n] for n in range(int(WATCHED_S / BUCKET_S))
+        store.calls[first + n] for n in range(int(COUNTED_S / BUCKET_S))
     ]
     most = max(sum(buckets[n : n + 10]) for n in range(len(buckets) - 9))
     return sum(buckets) / entry_count, most
 
 
 def main():
-    """Print the table."""
+    """Print the results as a Markdown table."""
     print('| entries | items | calls an entry in 5 s | most in one second |')
     print('| --- | --- | --- | --- |')
     for entry_count, item_count in SIZES:
-        calls, most = virtual_time.run(play(entry_count, item_count))
+        calls, most = virtual_time.run(measure(entry_count, item_count))
         print(f'| {entry_count} | {item_count} | {calls:.1f} | {most} |')
 
 
--- a/benchmarks/virtual_time.py
+++ b/benchmarks/virtual_time.py
@@ -1,46 +1,46 @@
-"""An event loop whose time is virtual, so that asyncio code is repeatable.
+"""An event loop in virtual time, which makes asyncio code repeatable.
 
-Nothing waits: when no callback is ready, the time jumps to the next
-timer.  A loop with nothing to wait for is a deadlock, and said so.
+No call waits: when no callback is ready, the time advances to the next
+timer.  A loop without a timer is a deadlock, and raises an error.
 """
 
 import asyncio
 import selectors
 
-WALL_START_S = 1.8e9
+WALL_TIME_AT_START_S = 1.8e9
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _AdvancingSelector(selectors.SelectSelector):
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError('deadlock: nothing is left to wait for')
+            raise RuntimeError('deadlock: no timer is left')
         self.now_s += max(timeout, 0.0)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order without waiting for them."""
+    """Runs timers in order without waiting."""
 
     def __init__(self):
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._selector = _AdvancingSelector()
+        super().__init__(self._selector)
 
     def time(self):
-        return self._jumping.now_s
+        return self._selector.now_s
 
 
 class LoopClock:
-    """The running loop's time, as the product reads it."""
+    """A clock for the product that reads the running loop's time."""
 
     def monotonic_s(self):
         return asyncio.get_running_loop().time()
 
     def wall_s(self):
-        return WALL_START_S + self.monotonic_s()
+        return WALL_TIME_AT_START_S + self.monotonic_s()
 
     def boot_s(self):
         return self.monotonic_s()
