--- a/lacewingpitch/attempts.py
+++ b/lacewingpitch/attempts.py
@@ -1,4 +1,8 @@
-"""The attempts at requests that reach one sidecar, from claim to answer."""
+"""Execution of attempts at a sidecar, from claim to answer.
+
+An attempt is one try to execute a request at a sidecar.  Its entry
+instance sends it as a `WorkOrder`.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -20,19 +24,21 @@
 from lacewingpitch import voter_link
 from lacewingpitch import work
 
-# Requests that get their adapters while others run, over those running.
+# Queued requests whose adapters may be loaded ahead of their turn, as a
+# ratio to the requests that an engine runs at once.
 LOOKAHEAD_RATIO = 1.0
 
 
 class Attempts:
-    """Takes each attempt through claim, turn and run.
+    """Claims the key, waits for a turn and runs the request of each attempt.
 
-    It knows of each attempt whether it ran, and answers whoever asks.
+    It records whether each attempt has run, and answers the requests of
+    entry instances and other sidecars for these records.
 
     Parameters
     ----------
     settings
-        Checked settings of the sidecar.
+        Validated settings of the sidecar.
     node
         Links, peers and contracts of the process.
     """
@@ -53,7 +59,7 @@
         self._runner: runner_module.Runner
 
     def serve(self, runner: runner_module.Runner) -> None:
-        """Run on a backend server, and answer peers, from now on."""
+        """Execute attempts with `runner`, and handle messages of peers."""
         self._runner = runner
         control = self._node.control
         control.handle(voiding.VoidRequest, self._void)
@@ -64,11 +70,11 @@
         )
 
     async def close(self) -> None:
-        """Stop giving votes back."""
+        """Cancel the withdrawals of claims in progress."""
         await self._claims.close()
 
     async def wait_idle(self) -> None:
-        """Wait until nothing runs."""
+        """Wait until no run is in progress."""
         await self._runs.wait_idle()
 
     async def run(
@@ -77,12 +83,18 @@
         delivery: runs.Delivery,
         check_open: Callable[[], None],
     ) -> runs.WholeAnswer | None:
-        """Run an attempt, and deliver a stream or return a whole answer.
+        """Run an attempt; deliver a stream, or return a complete answer.
+
+        Parameters
+        ----------
+        check_open
+            Raises if the sidecar no longer accepts attempts.
 
         Raises
         ------
         RefusalError
-            There is no whole answer; says whether the attempt ran.
+            There is no complete answer.  The error says whether the
+            attempt ran.
         """
         attempt_id = voiding.attempt_id(order.request_id, order.attempt)
         self._ledger.admit(attempt_id)
@@ -110,24 +122,25 @@
     async def resume(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
-        """Deliver again what an attempt has for a link that broke.
+        """Deliver the answer of an attempt whose connection broke.
 
         Raises
         ------
         RefusalError
-            It cannot be had any more.
+            The answer is no longer available.
         """
         attempt_id = voiding.attempt_id(order.request_id, order.attempt)
-        kept = self._answers.get(attempt_id)
+        answer = self._answers.get(attempt_id)
         run = self._runs.find(attempt_id)
-        if kept is None and not order.stream and run is not None:
+        if answer is None and not order.stream and run is not None:
             run.cancel_expiry()
-            kept = await self._runs.wait_for(attempt_id, run.tasks[0])
-        if kept is not None:
-            return kept
+            answer = await self._runs.wait_for(attempt_id, run.tasks[0])
+        if answer is not None:
+            return answer
         if not order.stream:
             raise errors.RefusalError(
-                errors.ErrorKind.OUTCOME_UNKNOWN, 'the answer is not kept'
+                errors.ErrorKind.OUTCOME_UNKNOWN,
+                'the answer is no longer available',
             )
         self._ledger.resume(attempt_id)
         task = self._runs.start(
@@ -156,19 +169,19 @@
         delivery: runs.Delivery,
     ) -> runs.WholeAnswer | None:
         try:
-            found = await self._claim_and_run(
+            answer = await self._claim_and_run(
                 attempt_id, order, body, delivery
             )
-        except claim_module.KeptAnswerError as kept:
+        except claim_module.KeptAnswerError as error:
             self._ledger.close(attempt_id, did_not_run=True)
-            return kept.answer
+            return error.answer
         except errors.RefusalError as error:
             did_not_run = error.outcome is errors.Outcome.NOT_RUN
             self._ledger.close(attempt_id, did_not_run)
             raise
-        if found is not None:
-            self._answers.put(attempt_id, found)
-        return found
+        if answer is not None:
+            self._answers.put(attempt_id, answer)
+        return answer
 
     async def _claim_and_run(
         self,
@@ -179,18 +192,18 @@
     ) -> runs.WholeAnswer | None:
         async with (
             self._claims.claim(order, body) as claim,
-            contextlib.AsyncExitStack() as held,
+            contextlib.AsyncExitStack() as exits,
         ):
             async with claim.collecting_votes():
-                await held.enter_async_context(self._hold_turn(order))
-            # A contract may be revoked while its request waits; what
-            # waits must not run on a right that has ended.
+                await exits.enter_async_context(self._hold_turn(order))
+            # The contract may have been revoked while the request waited.
+            # The request must not run then.
             self._node.contract_registry.check_revoked(order.customer)
             claim.start()
             self._ledger.start(attempt_id)
-            found = await self._runner.run(order, body, delivery)
-            claim.record_answer(found)
-            return found
+            answer = await self._runner.run(order, body, delivery)
+            claim.record_answer(answer)
+            return answer
 
     async def _resume_stream(
         self, order: work.WorkOrder, delivery: runs.Delivery
@@ -199,38 +212,39 @@
             async with self._runner.prepare(order):
                 await self._runner.resume(order, delivery)
         except errors.RefusalError as error:
-            # The adapter may be gone from an engine that restarted, and
-            # its load be refused as "not run".  The attempt has started:
-            # believed, that would have it run once more elsewhere.
+            # The engine may have restarted without the adapter, and its
+            # load be refused as "not run".  Since the attempt has started,
+            # passing that outcome on would let it run again elsewhere.
             if error.outcome is not errors.Outcome.NOT_RUN:
                 raise
             raise errors.RefusalError(
                 errors.ErrorKind.OUTCOME_UNKNOWN,
-                f'the stream cannot be taken up: {error.detail}',
+                f'the stream cannot be resumed: {error.detail}',
             ) from error
         return None
 
     @contextlib.asynccontextmanager
     async def _hold_turn(self, order: work.WorkOrder) -> AsyncIterator[None]:
-        async with contextlib.AsyncExitStack() as held:
-            await self._acquire_turn(held, order)
+        async with contextlib.AsyncExitStack() as exits:
+            await self._acquire_turn(exits, order)
             yield
 
     async def _acquire_turn(
-        self, held: contextlib.AsyncExitStack, order: work.WorkOrder
+        self, exits: contextlib.AsyncExitStack, order: work.WorkOrder
     ) -> None:
-        # The place comes before the adapter: who waits for a place keeps
-        # no adapter from eviction, and nobody prepares out of order.
+        # The queue reservation is made before the adapter is loaded, so
+        # that a request without a reservation does not keep an adapter
+        # from eviction, and adapters are loaded in the order of the queue.
         start_by_s = self._node.clock.monotonic_s() + order.deadline_s
         try:
             async with asyncio.timeout(order.deadline_s):
-                reservation = await held.enter_async_context(
+                reservation = await exits.enter_async_context(
                     self.queue.reserve(order)
                 )
                 left_s = start_by_s - self._node.clock.monotonic_s()
                 order = msgspec.structs.replace(order, deadline_s=left_s)
-                await held.enter_async_context(self._runner.prepare(order))
-                await held.enter_async_context(reservation.turn())
+                await exits.enter_async_context(self._runner.prepare(order))
+                await exits.enter_async_context(reservation.turn())
         except TimeoutError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.DEADLINE_UNREACHABLE,
@@ -256,14 +270,15 @@
         )
 
     async def _void(self, message: voiding.VoidRequest) -> voiding.VoidReply:
-        # A list that pairs one sidecar's work port with another's control
-        # port would have this one promise for work that the other has:
-        # the caller would be told "not run" of a request that runs.
+        # An erroneous list may pair the work port of another sidecar with
+        # the control port of this one.  If this sidecar voided an attempt
+        # that the other one has, the caller would receive "not run" for a
+        # request that runs.
         if message.instance not in ('', self._settings.instance):
             return voiding.VoidReply(state=ledger.RunState.FORGOTTEN)
         if message.only_asks:
-            found = self._ledger.state(message.attempt_id)
-            return voiding.VoidReply(state=found or ledger.RunState.FORGOTTEN)
+            known = self._ledger.state(message.attempt_id)
+            return voiding.VoidReply(state=known or ledger.RunState.FORGOTTEN)
         state = self._ledger.void(message.attempt_id)
         return voiding.VoidReply(state=state)
 
--- a/lacewingpitch/claim.py
+++ b/lacewingpitch/claim.py
@@ -1,4 +1,9 @@
-"""Claiming an idempotency key before its request is passed on."""
+"""Claims on idempotency keys.
+
+A claim collects the votes of a quorum of a key's voters before its
+request is sent to the backend server, so that at most one attempt with
+the key runs.  Attempts that lose return the winner's answer.
+"""
 
 import asyncio
 import collections
@@ -27,15 +32,15 @@
 _MAX_ROUNDS = 12
 _OUTCOME_POLL_S = 0.1
 _SPARE_VOTER_DELAY_S = 0.025
-MAX_KEPT_ANSWER_BYTES = 64 << 10
-MAX_KEPT_BYTES = 16 << 20
+MAX_CACHED_ANSWER_BYTES = 64 << 10
+MAX_CACHED_BYTES = 16 << 20
 log = structlog.get_logger(__name__)
 
 Verdict = voter_module.Verdict
 
 
 class KeptAnswerError(errors.LacewingpitchError):
-    """Ends an attempt whose key was won, and answered, by another."""
+    """Ends an attempt with the answer of another one with the same key."""
 
     def __init__(self, answer: runs.WholeAnswer) -> None:
         super().__init__('answered by another attempt')
@@ -49,16 +54,16 @@
 
 
 class Claims:
-    """The claims that this sidecar made, and what came of them.
+    """The claims that this sidecar has made, and their outcomes.
 
     Parameters
     ----------
     name
-        This instance.
+        Name of this instance.
     links
-        Reaches voters and other holders.
+        Sends messages to voters and to the holders of other claims.
     window_s
-        How long an outcome is kept.
+        How long an outcome is kept, in seconds.
     """
 
     def __init__(
@@ -82,41 +87,42 @@
         self._answers: collections.OrderedDict[str, runs.WholeAnswer] = (
             collections.OrderedDict()
         )
-        self._kept_bytes = 0
+        self._cached_bytes = 0
         self._withdrawals: set[asyncio.Task[None]] = set()
 
     @contextlib.asynccontextmanager
     async def claim(
         self, order: work.WorkOrder, body: bytes
     ) -> AsyncIterator['Claim']:
-        """Hold the claim of an attempt; give it back if it did not run."""
-        found = Claim(self, order, body)
+        """Hold the claim of an attempt; withdraw it if it did not run."""
+        claim = Claim(self, order, body)
         try:
-            yield found
+            yield claim
         except errors.RefusalError as error:
-            # "Not run" is proof only as this sidecar says it: it alone
-            # passes the work on, and a claim given back cannot start.
+            # "Not run" is reliable here: only this sidecar sends the
+            # request to the backend server, and a withdrawn claim cannot
+            # start.
             if error.outcome is errors.Outcome.NOT_RUN:
-                found.mark_not_run()
+                claim.mark_not_run()
             raise
         finally:
-            await found.close()
+            await claim.close()
 
     async def report_outcome(
         self, message: voter_link.OutcomeRequest
     ) -> voter_link.OutcomeReply:
-        """Answer what came of a claim."""
-        found = self._records.get(message.claim_id)
-        if found is None:
+        """Return the state of a claim, and its answer if it is cached."""
+        record = self._records.get(message.claim_id)
+        if record is None:
             return voter_link.OutcomeReply(
                 state=voter_link.ClaimState.NOT_HELD
             )
         return voter_link.OutcomeReply(
-            state=found.state, answer=self._answers.get(message.claim_id)
+            state=record.state, answer=self._answers.get(message.claim_id)
         )
 
     def voters(self, order: work.WorkOrder) -> voter_module.VoterSet:
-        """Return the voters of an order's key by the newest list."""
+        """Return the voters of an order's key in the newest list."""
         instances = self._membership.instances
         if instances is not self._indexed_instances:
             self._indexed_instances = instances
@@ -131,22 +137,29 @@
         state: voter_link.ClaimState,
         answer: runs.WholeAnswer | None = None,
     ) -> None:
-        """Remember how far a claim got."""
+        """Record the state of a claim, and its answer unless it is large.
+
+        A claim in state ``NOT_HELD`` is removed.
+        """
         self._drop(claim_id)
         if state is voter_link.ClaimState.NOT_HELD:
             return
         self._records[claim_id] = _ClaimRecord(
             state, self._clock.monotonic_s()
         )
-        if answer is not None and len(answer.body) <= MAX_KEPT_ANSWER_BYTES:
+        if answer is not None and len(answer.body) <= MAX_CACHED_ANSWER_BYTES:
             self._answers[claim_id] = answer
-            self._kept_bytes += len(answer.body)
+            self._cached_bytes += len(answer.body)
         self._evict()
 
     async def withdraw(
         self, order: work.WorkOrder, ballot: ballot_module.Ballot
     ) -> None:
-        """Give the votes of a round back; wait for a short while only."""
+        """Release the votes of a round.
+
+        Waits at most `_WITHDRAW_TIMEOUT_S`.  Withdrawals that take longer
+        continue in the background.
+        """
         voters = ballot.close()
         self.record_state(ballot.claim_id, voter_link.ClaimState.NOT_HELD)
         message = voter_module.WithdrawRequest(
@@ -165,7 +178,7 @@
             await asyncio.wait(tasks, timeout=_WITHDRAW_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Stop giving votes back."""
+        """Cancel the withdrawals in progress."""
         for task in self._withdrawals:
             task.cancel()
 
@@ -174,8 +187,8 @@
         instance: live_list.Instance,
         message: voter_module.WithdrawRequest,
     ) -> None:
-        # A lost withdrawal blocks the key at one voter until the window
-        # has passed; it never lets anything run twice.
+        # A lost withdrawal blocks the key at one voter until its window
+        # ends.  It cannot cause a request to run twice.
         for _ in range(_MAX_WITHDRAW_ATTEMPTS):
             try:
                 await self.links.withdraw(instance, message)
@@ -191,28 +204,28 @@
         self._records.pop(claim_id, None)
         answer = self._answers.pop(claim_id, None)
         if answer is not None:
-            self._kept_bytes -= len(answer.body)
+            self._cached_bytes -= len(answer.body)
 
     def _evict(self) -> None:
         oldest_s = self._clock.monotonic_s() - self._window_s
         while self._records:
-            claim_id, found = next(iter(self._records.items()))
-            if found.changed_at_s >= oldest_s:
+            claim_id, record = next(iter(self._records.items()))
+            if record.changed_at_s >= oldest_s:
                 break
             self._drop(claim_id)
-            if found.state is not voter_link.ClaimState.FINISHED:
+            if record.state is not voter_link.ClaimState.FINISHED:
                 self._records[claim_id] = _ClaimRecord(
-                    found.state, self._clock.monotonic_s()
+                    record.state, self._clock.monotonic_s()
                 )
-        while self._kept_bytes > MAX_KEPT_BYTES:
+        while self._cached_bytes > MAX_CACHED_BYTES:
             _, answer = self._answers.popitem(last=False)
-            self._kept_bytes -= len(answer.body)
+            self._cached_bytes -= len(answer.body)
 
 
 class Claim:
-    """The claim of one attempt on its request's idempotency key.
+    """The claim of one attempt on the idempotency key of its request.
 
-    An order without a key has nothing to claim and always may start.
+    An order without a key needs no claim and may always start.
     """
 
     def __init__(
@@ -228,16 +241,17 @@
 
     @contextlib.asynccontextmanager
     async def collecting_votes(self) -> AsyncIterator[None]:
-        """Collect the votes while the block waits for its turn.
+        """Collect the votes while the body of the context waits for a turn.
 
-        Leaves only with the claim complete.
+        The context ends without an error only when the quorum is reached.
 
         Raises
         ------
         RefusalError
-            Another attempt holds the key, or it cannot be known.
+            Another attempt holds the key or may hold it, or the quorum
+            cannot be reached.
         KeptAnswerError
-            Another attempt ran, and its answer is known.
+            Another attempt has run, and its answer is known.
         """
         if not self._order.idempotency_key:
             yield
@@ -246,15 +260,22 @@
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._collect())
                 yield
-        except BaseExceptionGroup as found:
-            raise found.exceptions[0] from None
+        except BaseExceptionGroup as group_error:
+            raise group_error.exceptions[0] from None
 
     def start(self) -> None:
-        """Record that the request is passed on now."""
+        """Record that the request is sent to the backend server now.
+
+        Raises
+        ------
+        RefusalError
+            The claim does not have the votes of a quorum.
+        """
         if not self._order.idempotency_key:
             return
-        # A process that was frozen may come here long after; votes do
-        # not lapse, so what counts is only that the round is not over.
+        # A process that was frozen may get here long after the votes were
+        # granted.  Votes do not expire while their key is valid, so the
+        # claim holds as long as its round has not been ended.
         if self._ballot is None or not self._ballot.is_won:
             raise errors.RefusalError(
                 errors.ErrorKind.CLAIM_UNAVAILABLE, 'the claim is incomplete'
@@ -265,7 +286,7 @@
         )
 
     def record_answer(self, answer: runs.WholeAnswer | None) -> None:
-        """Keep the answer for a caller that asks again."""
+        """Cache the answer for retries with the same key."""
         if self._ballot is None or answer is None:
             return
         self._claims.record_state(
@@ -273,11 +294,11 @@
         )
 
     def mark_not_run(self) -> None:
-        """Take note of proof that the request did not run."""
+        """Record proof that the request did not run."""
         self._has_started = False
 
     async def close(self) -> None:
-        """Give the votes back unless the request was passed on."""
+        """Withdraw the claim unless the request may have run."""
         if self._ballot is None:
             return
         if not self._has_started:
@@ -310,17 +331,17 @@
                     round=number + 1,
                 )
                 return
-            holder = ballot.competing_claim()
+            competing = ballot.competing_claim()
             self._ballot = None
             await self._claims.withdraw(self._order, ballot)
-            if holder is None:
+            if competing is None:
                 raise ballot.refusal()
-            await self._check_competing_claim(holder)
-            # Claims that split the votes try again at random times, else
-            # they would split them again.
+            await self._check_competing_claim(competing)
+            # If claims retried at the same time, they would split the
+            # votes again.
             longest_s = min(_INITIAL_BACKOFF_S * 2**number, _MAX_BACKOFF_S)
             await asyncio.sleep(random.uniform(0, longest_s))
-        raise _key_in_use_error('another sending holds this key')
+        raise _key_in_use_error('another attempt holds this key')
 
     async def _run_round(self) -> ballot_module.Ballot:
         voters = self._claims.voters(self._order)
@@ -344,13 +365,13 @@
     async def _collect_votes(
         self, ballot: ballot_module.Ballot, request: voter_module.VoteRequest
     ) -> None:
-        # This sidecar's own vote costs no message.
+        # This sidecar's own vote needs no message, so it is asked first.
         voters = sorted(
             ballot.voters.instances, key=lambda i: i.name != self._claims.name
         )
         quorum = ballot.voters.quorum
-        asking, spared = voters[:quorum], voters[quorum:]
-        ballot.mark_unasked(spared)
+        to_ask, reserve = voters[:quorum], voters[quorum:]
+        ballot.mark_unasked(reserve)
         tasks: set[asyncio.Task[None]] = set()
         try:
             while not (ballot.is_won or ballot.is_lost):
@@ -358,21 +379,22 @@
                     asyncio.create_task(
                         self._request_vote(ballot, instance, request)
                     )
-                    for instance in asking
+                    for instance in to_ask
                 }
-                asking = []
+                to_ask = []
                 done, tasks = await asyncio.wait(
                     tasks,
-                    timeout=_SPARE_VOTER_DELAY_S if spared else None,
+                    timeout=_SPARE_VOTER_DELAY_S if reserve else None,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 for task in done:
                     task.result()
-                # A voter that is frozen or refuses must not cost the
-                # claim: the votes that were spared are asked for then.
+                # If a voter is slow, unreachable or refuses, the voters in
+                # reserve are asked too, so that the claim does not depend
+                # on it.
                 if not done or ballot.has_failed_reply:
                     ballot.mark_unasked(())
-                    asking, spared = spared, []
+                    to_ask, reserve = reserve, []
         finally:
             for task in tasks:
                 task.cancel()
@@ -391,22 +413,34 @@
         ballot.record_reply(instance.name, reply)
 
     async def _check_competing_claim(
-        self, holder: voter_module.VoteReply
+        self, competing: voter_module.VoteReply
     ) -> None:
-        """Return if the other claim came to nothing, or still may."""
+        """Wait while the competing claim's request runs.
+
+        Returns if that claim has been withdrawn or may still fail.
+
+        Raises
+        ------
+        RefusalError
+            The request of the competing claim ran, or may have run.
+        KeptAnswerError
+            It ran, and its answer is known.
+        """
         while True:
             try:
                 reply = await self._claims.links.outcome(
-                    holder.holder, holder.claim_id
+                    competing.holder, competing.claim_id
                 )
             except errors.LinkError as error:
                 raise _key_in_use_error(
-                    'the holder of this key does not answer'
+                    'the instance that holds this key does not answer'
                 ) from error
             if reply.answer is not None:
                 raise KeptAnswerError(reply.answer)
             if reply.state is voter_link.ClaimState.FINISHED:
-                raise _key_in_use_error('a request with this key ran before')
+                raise _key_in_use_error(
+                    'a request with this key has already run'
+                )
             if reply.state is not voter_link.ClaimState.RUNNING:
                 return
             await asyncio.sleep(_OUTCOME_POLL_S)
--- a/lacewingpitch/runner.py
+++ b/lacewingpitch/runner.py
@@ -1,4 +1,4 @@
-"""How a sidecar runs one request on its backend server."""
+"""Interface that runs requests on a sidecar's backend server."""
 
 import contextlib
 from types import TracebackType
@@ -22,7 +22,7 @@
     """Runs requests on one kind of backend server."""
 
     async def __aenter__(self) -> Self:
-        """Attach to the backend server."""
+        """Start background work, such as polling an engine's report."""
         ...
 
     async def __aexit__(
@@ -31,39 +31,42 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Detach from it."""
+        """Stop the background work."""
         ...
 
     def prepare(
         self, order: work.WorkOrder
     ) -> contextlib.AbstractAsyncContextManager[None]:
-        """Hold whatever the request needs, such as its adapter."""
+        """Hold the resources of the request, such as its adapter.
+
+        They are held while the context is open.
+        """
         ...
 
     def is_prepared(self, order: work.WorkOrder) -> bool:
-        """Whether the request finds what it needs without a wait."""
+        """Whether the resources of the request are available at once."""
         ...
 
     def expected_wait_s(self, order: work.WorkOrder) -> float:
-        """Return what the request would wait for what it needs."""
+        """Return the expected wait of the request for its resources."""
         ...
 
     async def run(
         self, order: work.WorkOrder, body: bytes, delivery: runs.Delivery
     ) -> runs.WholeAnswer | None:
-        """Pass the request on.
+        """Send the request to the backend server.
 
         Returns
         -------
         WholeAnswer | None
-            The answer, unless it went out by `delivery`.
+            The answer; ``None`` if it was sent through `delivery`.
         """
         ...
 
     async def resume(
         self, order: work.WorkOrder, delivery: runs.Delivery
     ) -> None:
-        """Deliver the rest of a stream whose delivery broke."""
+        """Deliver the rest of a stream whose connection broke."""
         ...
 
 
@@ -73,7 +76,7 @@
     pacer: load_pacer.LoadPacer,
     queue: turn_queue.TurnQueue,
 ) -> Runner:
-    """Return the runner for the backend server of a sidecar."""
+    """Return the runner for the type of the sidecar's backend server."""
     backend = settings.backend_server
     url = backend.address.url
     if isinstance(backend, settings_module.ServiceSettings):
--- a/lacewingpitch/runs.py
+++ b/lacewingpitch/runs.py
@@ -1,4 +1,7 @@
-"""The runs of one sidecar, which outlive a connection that breaks."""
+"""Runs: executions of attempts at the backend server of a sidecar.
+
+A run continues when the connection that waits for its answer breaks.
+"""
 
 import asyncio
 import collections
@@ -22,14 +25,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An answer that is complete before any of it is sent."""
+    """An answer that was received completely before it is sent."""
 
     status: int
     content_type: str
     body: bytes
 
     def response(self) -> web.Response:
-        """Return it as an HTTP answer."""
+        """Return the answer as an HTTP response."""
         headers = {}
         if self.content_type:
             headers['Content-Type'] = self.content_type
@@ -39,14 +42,16 @@
 
 
 class Delivery:
-    """Where a run's bytes go; once it is broken, they go nowhere.
+    """Delivery of a run's answer to the peer that waits for it.
+
+    Once `is_broken` is set, all further data is discarded.
 
     Parameters
     ----------
     request
-        The request of the peer that waits for the answer.
+        HTTP request of the peer.
     headers
-        Headers that every answer to it carries.
+        Headers of every response to the request.
     """
 
     def __init__(self, request: web.Request, headers: dict[str, str]) -> None:
@@ -63,14 +68,14 @@
         Raises
         ------
         RefusalError
-            It is too large, or too slow.
+            The body is too large, or arrives too slowly.
         """
         return await http_guard.read_body(self._request, timeout_s)
 
     async def begin(
         self, status: int, content_type: str, length_bytes: int | None = None
     ) -> None:
-        """Send the head of the answer."""
+        """Send the status line and headers of the response."""
         self.response = web.StreamResponse(status=status, headers=self.headers)
         if content_type:
             self.response.headers['Content-Type'] = content_type
@@ -92,14 +97,15 @@
         self._timeout.close()
 
     def abort(self) -> None:
-        """Break the connection, so that the body is seen not to be whole."""
+        """Abort the connection, so that the peer sees an incomplete body."""
         self.is_broken = True
         if self._request.transport is not None:
             self._request.transport.abort()
 
     async def _send(self, operation: Coroutine[None, None, object]) -> None:
-        # A reader that is gone, or takes nothing for a minute, must not
-        # end a run that may only run once, nor hold its slot for ever.
+        # A peer that has disconnected, or that accepts no data for
+        # `_WRITE_TIMEOUT_S`, must not end a run that cannot be repeated,
+        # nor keep its execution slot occupied forever.
         try:
             with self._timeout:
                 await operation
@@ -110,7 +116,7 @@
 
 
 class AnswerCache:
-    """Small whole answers, kept for a peer whose connection broke."""
+    """Small answers, cached for peers whose connections broke."""
 
     def __init__(self, clock: clock_module.Clock) -> None:
         self._clock = clock
@@ -120,7 +126,7 @@
         ] = collections.OrderedDict()
 
     def put(self, attempt_id: str, answer: WholeAnswer) -> None:
-        """Keep an answer for a while unless it is large."""
+        """Cache an answer unless it is large."""
         if len(answer.body) > _MAX_CACHED_ANSWER_BYTES:
             return
         expires_at_s = self._clock.monotonic_s() + _ANSWER_RETENTION_S
@@ -129,9 +135,9 @@
         self._evict()
 
     def get(self, attempt_id: str) -> WholeAnswer | None:
-        """Return a kept answer."""
-        found = self._answers.get(attempt_id)
-        return None if found is None else found[1]
+        """Return the answer of an attempt, if it is cached."""
+        cached = self._answers.get(attempt_id)
+        return None if cached is None else cached[1]
 
     def _evict(self) -> None:
         now_s = self._clock.monotonic_s()
@@ -145,7 +151,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """The tasks that work on one attempt, and whether anyone waits."""
+    """The tasks that work on one attempt.
+
+    `expiry` is the timer that cancels the run while no peer waits for it.
+    """
 
     attempt_id: str
     repeatable: bool
@@ -155,23 +164,23 @@
     expiry: asyncio.TimerHandle | None = None
 
     def cancel(self) -> None:
-        """Stop all work on it."""
+        """Cancel all tasks of the run."""
         for task in self.tasks:
             task.cancel()
 
     def cancel_expiry(self) -> None:
-        """Take back the decision to stop it."""
+        """Stop the timer that would cancel the run."""
         if self.expiry is not None:
             self.expiry.cancel()
             self.expiry = None
 
 
 class Runs:
-    """What runs at this sidecar, by attempt.
+    """The runs in progress at this sidecar, by attempt.
 
-    A run has a task of its own.  When the connection that waits for it
-    breaks, it runs on: for good if it is not repeatable, else until
-    nobody has taken it up again for `RESUME_GRACE_S`.
+    Each run has its own task and continues when the connection that waits
+    for it breaks.  A repeatable run is cancelled if no peer resumes it
+    within `RESUME_GRACE_S`.  Any other run continues to its end.
     """
 
     def __init__(self) -> None:
@@ -180,7 +189,7 @@
         self._idle.set()
 
     def find(self, attempt_id: str) -> Run | None:
-        """Return the run of an attempt that is in progress."""
+        """Return the run of an attempt, if it is in progress."""
         return self._runs.get(attempt_id)
 
     def start(
@@ -189,7 +198,7 @@
         repeatable: bool,
         work: Coroutine[None, None, WholeAnswer | None],
     ) -> asyncio.Task[WholeAnswer | None]:
-        """Run `work` in a task of its own."""
+        """Run `work` in its own task, as part of the attempt's run."""
         run = self._runs.setdefault(attempt_id, Run(attempt_id, repeatable))
         run.cancel_expiry()
         self._idle.clear()
@@ -201,12 +210,12 @@
     async def wait_for(
         self, attempt_id: str, task: asyncio.Task[WholeAnswer | None]
     ) -> WholeAnswer | None:
-        """Wait for a run, which goes on if the waiting is cancelled.
+        """Wait for a run; cancelling the wait does not cancel the run.
 
         Raises
         ------
         RefusalError
-            What the run raised, or that it was stopped.
+            The error of the run, or that it was cancelled.
         """
         try:
             return await asyncio.shield(task)
@@ -215,11 +224,11 @@
                 self._start_expiry(attempt_id)
                 raise
             raise errors.RefusalError(
-                errors.ErrorKind.CALLER_GONE, 'the run was stopped'
+                errors.ErrorKind.CALLER_GONE, 'the run was cancelled'
             ) from None
 
     def cancel(self, attempt_id: str) -> bool:
-        """Stop a run that may be repeated; return whether it was."""
+        """Cancel a run if it is repeatable; return whether it is."""
         run = self._runs.get(attempt_id)
         if run is None or not run.repeatable:
             return False
@@ -227,7 +236,7 @@
         return True
 
     async def wait_idle(self) -> None:
-        """Wait until nothing runs."""
+        """Wait until no run is in progress."""
         await self._idle.wait()
 
     def _start_expiry(self, attempt_id: str) -> None:
@@ -242,7 +251,8 @@
         self, run: Run, task: asyncio.Task[WholeAnswer | None]
     ) -> None:
         if not task.cancelled():
-            # Marks the exception as seen: the peer may be gone.
+            # Retrieves the exception.  If the peer has disconnected, no
+            # other code does, and asyncio would log an error.
             task.exception()
         run.tasks.remove(task)
         if run.tasks:
--- a/lacewingpitch/voiding.py
+++ b/lacewingpitch/voiding.py
@@ -1,20 +1,24 @@
-"""Asking a sidecar never to run an attempt, the proof of "not run"."""
+"""Control messages that void, query or cancel an attempt.
+
+To void an attempt is to have its sidecar promise never to run it.  This
+proves that the attempt did not run and will not run.
+"""
 
 from lacewingpitch import ledger
 from lacewingpitch import link
 
 
 class VoidRequest(link.Message, frozen=True):
-    """Asks a sidecar to promise never to run an attempt.
+    """Requests that a sidecar void an attempt, or report its state.
 
     Parameters
     ----------
     instance
-        The sidecar that the attempt was sent to; empty from a process
-        of an earlier version.
+        Sidecar to which the attempt was sent; empty in messages of
+        earlier versions.
     only_asks
-        Whether the attempt is left as it is; one that is not known of
-        counts as ``FORGOTTEN``.
+        Whether to report the state without voiding the attempt.  An
+        unknown attempt is then reported as ``FORGOTTEN``.
     """
 
     attempt_id: str
@@ -23,23 +27,23 @@
 
 
 class VoidReply(link.Message, frozen=True):
-    """How far the attempt got; only ``VOID`` proves it did not run."""
+    """State of the attempt; only ``VOID`` proves that it did not run."""
 
     state: ledger.RunState
 
 
 class CancelRequest(link.Message, frozen=True):
-    """Tells a sidecar that nobody waits for an attempt's answer."""
+    """Cancels an attempt whose answer is no longer needed."""
 
     attempt_id: str
 
 
 class CancelReply(link.Message, frozen=True):
-    """Whether the attempt was stopped; one not repeatable runs on."""
+    """Whether the attempt was cancelled, which only repeatable ones are."""
 
     cancelled: bool
 
 
 def attempt_id(request_id: str, attempt: int) -> str:
-    """Return the name of one attempt at one request."""
+    """Return the id of one attempt of a request."""
     return f'{request_id}.{attempt}'
--- a/lacewingpitch/voter_link.py
+++ b/lacewingpitch/voter_link.py
@@ -1,4 +1,4 @@
-"""How a claim reaches voters, and the holders of other claims."""
+"""Messages from a claim to voters, and to the holders of other claims."""
 
 import enum
 from typing import Protocol
@@ -14,7 +14,10 @@
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claim got at the sidecar that made it."""
+    """State of a claim at the sidecar that made it.
+
+    ``NOT_HELD`` means that the claim was withdrawn or is unknown.
+    """
 
     CLAIMING = 'claiming'
     RUNNING = 'running'
@@ -23,27 +26,27 @@
 
 
 class OutcomeRequest(link.Message, frozen=True):
-    """Asks the holder of a claim what came of it."""
+    """Requests the outcome of a claim from its holder."""
 
     claim_id: str
 
 
 class OutcomeReply(link.Message, frozen=True):
-    """What came of a claim; the answer where it was kept."""
+    """State of a claim, with the answer if the holder has cached it."""
 
     state: ClaimState
     answer: runs.WholeAnswer | None = None
 
 
 class VoterLinks(Protocol):
-    """How a claim reaches voters and holders of claims."""
+    """Sends the messages of a claim to voters and holders of claims."""
 
     async def vote(
         self,
         instance: live_list.Instance,
         request: voter_module.VoteRequest,
     ) -> voter_module.VoteReply:
-        """Ask for a vote."""
+        """Request a vote."""
         ...
 
     async def withdraw(
@@ -51,16 +54,19 @@
         instance: live_list.Instance,
         request: voter_module.WithdrawRequest,
     ) -> voter_module.WithdrawReply:
-        """Give a vote back."""
+        """Release a vote."""
         ...
 
     async def outcome(self, holder: str, claim_id: str) -> OutcomeReply:
-        """Ask what came of a claim."""
+        """Request the outcome of a claim."""
         ...
 
 
 class PeerVoterLinks:
-    """Voters over control links; this instance's own is called directly."""
+    """Sends the messages of a claim over control links.
+
+    The voter of this instance is called directly.
+    """
 
     def __init__(
         self,
@@ -79,12 +85,12 @@
         instance: live_list.Instance,
         request: voter_module.VoteRequest,
     ) -> voter_module.VoteReply:
-        """Ask for a vote.
+        """Request a vote.
 
         Raises
         ------
         LinkError
-            No reply; the vote may have been given.
+            No reply arrived; the vote may have been granted.
         """
         if instance.name == self._name:
             return self._voter.vote(request)
@@ -97,12 +103,12 @@
         instance: live_list.Instance,
         request: voter_module.WithdrawRequest,
     ) -> voter_module.WithdrawReply:
-        """Give a vote back.
+        """Release a vote.
 
         Raises
         ------
         LinkError
-            No reply.
+            No reply arrived; the vote may not have been released.
         """
         if instance.name == self._name:
             return self._voter.withdraw(request)
@@ -111,7 +117,7 @@
         )
 
     async def outcome(self, holder: str, claim_id: str) -> OutcomeReply:
-        """Ask what came of a claim.
+        """Request the outcome of a claim.
 
         Raises
         ------
@@ -125,7 +131,7 @@
                     OutcomeReply,
                     _ASK_TIMEOUT_S,
                 )
-        raise errors.LinkError(f'{holder} is not in the list')
+        raise errors.LinkError(f'{holder} is not in the list of instances')
 
     def _peer(self, instance: live_list.Instance) -> link.Peer:
         return self._peers.peer(instance.ip, instance.control_port)
--- a/lacewingpitch/work.py
+++ b/lacewingpitch/work.py
@@ -1,4 +1,8 @@
-"""What an entry instance and a sidecar tell each other of a request."""
+"""Work orders, refusals and headers between entries and sidecars.
+
+A work order is the signed description of one attempt, which an entry
+instance sends to a sidecar in a header beside the request's body.
+"""
 
 import base64
 
@@ -15,35 +19,37 @@
 ATTEMPT_HEADER = 'Lacewingpitch-Attempt'
 HINT_HEADER = 'Lacewingpitch-Hint'
 LOAD_STALL_HEADER = 'Lacewingpitch-Load-Stall-S'
-# The revision of the list by which a sidecar leaves, or the word below.
+# The header's value is the revision of the list in which the sidecar
+# leaves, or LEAVING_UNLISTED if it drains on its own.
 LEAVING_HEADER = 'Lacewingpitch-Leaving'
 LEAVING_UNLISTED = 'true'
 
 
 class WorkOrder(link.Message, frozen=True):
-    """One attempt at one request, as an entry sends it to a sidecar.
+    """One attempt of a request, as an entry sends it to a sidecar.
 
     Parameters
     ----------
     request_id
         UUIDv7 of the request, the same for all its attempts.
     attempt
-        Counts the attempts of this request from 1.
+        Number of the attempt, counted from 1.
     path
-        Path at the backend server, with its query.
+        Path at the backend server, including the query.
     adapter
-        Grant that the contract names; ``None`` for a plain service.
+        Adapter that the contract grants; ``None`` for a plain service.
     deadline_s
-        Seconds left until the answer must have started.  It is relative,
-        since the clocks of two instances differ.
+        Seconds left until the answer must start.  The time is relative
+        because the clocks of two instances differ.
     idempotency_key
-        The caller's key, a UUIDv7; empty if it gave none.
+        The caller's key, a UUIDv7; empty if the caller sent none.
     region
-        The customer's, where the voters on its keys are.
+        The customer's region, which holds the voters on its keys.
     after_events
-        How many events of a stream that is resumed have arrived.
+        Number of events already received of a stream that is resumed.
     queued_requests
-        Requests of the customer that may wait at one sidecar.
+        Maximum number of requests of the customer that wait at one
+        sidecar.
     """
 
     request_id: str
@@ -67,7 +73,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of an answer that is not whole."""
+    """Reason and outcome of a request that has no complete answer."""
 
     kind: errors.ErrorKind
     outcome: errors.Outcome
@@ -76,23 +82,23 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """JSON body of every refusal, in the shape callers know."""
+    """JSON body of every refusal, for callers and peers alike."""
 
     error: Refusal
 
 
 def encode_order(order: WorkOrder, signer: link.MessageSigner) -> str:
-    """Return a signed order as the text of a header."""
+    """Return an order, signed and encoded as the value of a header."""
     return base64.b64encode(signer.sign(order)).decode('ascii')
 
 
 def decode_order(text: str, signer: link.MessageSigner) -> WorkOrder:
-    """Return the order in a header.
+    """Return the order in the value of a header.
 
     Raises
     ------
     RefusalError
-        It is not an order of this deployment.
+        The value is not an order signed by this deployment.
     """
     try:
         message = signer.verify(base64.b64decode(text, validate=True))
@@ -106,7 +112,7 @@
 
 
 def decode_error(body: bytes) -> ErrorBody | None:
-    """Return the error that a body says, or ``None`` if it says none."""
+    """Return the error in a body, or ``None`` if it contains none."""
     try:
         return msgspec.json.decode(body, type=ErrorBody)
     except (msgspec.DecodeError, RecursionError):
@@ -114,7 +120,7 @@
 
 
 def refusal_from_error(error: errors.RefusalError) -> Refusal:
-    """Return what a caller or peer is told of an error."""
+    """Return the refusal that reports an error to a caller or peer."""
     return Refusal(
         kind=error.kind,
         outcome=error.outcome,
@@ -124,7 +130,7 @@
 
 
 def error_from_refusal(refusal: Refusal) -> errors.RefusalError:
-    """Return the error that a peer's refusal stands for."""
+    """Return the error that a peer's refusal reports."""
     return errors.RefusalError(
         refusal.kind,
         refusal.detail,
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -378,7 +378,7 @@
             for n in range(400)
         ]
         assert 60_000 * sum(a is not None for a in kept) <= (
-            claim.MAX_KEPT_BYTES
+            claim.MAX_CACHED_BYTES
         )
         assert kept[0] is None
         assert kept[-1] == answer
