--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What a sidecar says of an attempt that it had started."""
+"""Tests of the outcome that a sidecar reports for a started attempt."""
 
 import contextlib
 
@@ -15,7 +15,7 @@
 
 
 class LostAdapterRunner:
-    """A runner whose engine has lost the adapter of the request."""
+    """Runner whose engine no longer holds the adapter of the request."""
 
     @contextlib.asynccontextmanager
     async def prepare(self, order):
@@ -31,23 +31,25 @@
         samples.sidecar_settings(), settings_module.SidecarSettings
     )
     node = node_module.Node(settings, clock_module.SystemClock())
-    subject = attempts.Attempts(settings, node)
-    subject.serve(LostAdapterRunner())
-    return subject
+    started_attempts = attempts.Attempts(settings, node)
+    started_attempts.serve(LostAdapterRunner())
+    return started_attempts
 
 
 class TestResume:
-    async def test_refused_load_does_not_deny_the_run(self, started):
-        """A request that may run once runs at two engines.
-
-        Its link breaks before the first token, and its engine restarts
-        empty; the entry asks for the stream again.  The load for it is
-        refused as "not run", so that the entry sends it elsewhere.
+    async def test_refused_load_is_not_reported_as_not_run(self, started):
+        """Guards against a second run of a request at another engine.
+
+        The request is not repeatable.  Its connection breaks before the
+        first token, its engine restarts empty, and the entry resumes the
+        stream.  The engine refuses to load the adapter as "not run".  If
+        the sidecar reported that outcome, the entry would send the
+        request to another sidecar.
         """
         order = samples.order(
             request_id=str(uuid_utils.uuid7()), repeatable=False, stream=True
         )
-        with pytest.raises(errors.RefusalError) as told:
+        with pytest.raises(errors.RefusalError) as caught:
             await started.resume(order, delivery=None)
-        assert told.value.outcome is errors.Outcome.UNKNOWN
-        assert not told.value.retry_elsewhere
+        assert caught.value.outcome is errors.Outcome.UNKNOWN
+        assert not caught.value.retry_elsewhere
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Which attempts may run, over restarts, windows and clocks."""
+"""Tests of the ledger: restarts, expiry and wrong clocks."""
 
 import collections
 import uuid
@@ -18,12 +18,12 @@
 Step = fault_matrix.Step
 RunState = ledger.RunState
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 EPOCH_S = 1_800_000_000.0
 
 
-def attempt_made_at(wall_s, number=0):
-    """Return the name of an attempt with a UUIDv7 of that time."""
+def attempt_created_at(wall_s, number=0):
+    """Return the id of an attempt whose UUIDv7 has the given time."""
     value = int(wall_s * 1000) << 80 | 7 << 76 | 2 << 62 | number
     return f'{uuid.UUID(int=value)}.1'
 
@@ -34,132 +34,136 @@
 
 
 @pytest.fixture
-def book(clock):
-    found = ledger.RunLedger(clock)
+def run_ledger(clock):
+    new_ledger = ledger.RunLedger(clock)
     clock.now_s += 60.0
-    return found
+    return new_ledger
 
 
 class TestVoid:
-    def test_holds_for_what_arrives_later(self, book, clock):
-        attempt = attempt_made_at(clock.wall_s())
-        assert book.void(attempt) is RunState.VOID
+    def test_holds_for_attempt_that_arrives_later(self, run_ledger, clock):
+        attempt = attempt_created_at(clock.wall_s())
+        assert run_ledger.void(attempt) is RunState.VOID
         with pytest.raises(errors.RefusalError) as caught:
-            book.admit(attempt)
+            run_ledger.admit(attempt)
         assert caught.value.outcome is errors.Outcome.NOT_RUN
 
-    def test_holds_for_what_waits(self, book, clock):
-        attempt = attempt_made_at(clock.wall_s())
-        book.admit(attempt)
-        assert book.void(attempt) is RunState.VOID
+    def test_holds_for_queued_attempt(self, run_ledger, clock):
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.admit(attempt)
+        assert run_ledger.void(attempt) is RunState.VOID
         with pytest.raises(errors.RefusalError):
-            book.start(attempt)
-
-    def test_comes_too_late_for_what_started(self, book, clock):
-        attempt = attempt_made_at(clock.wall_s())
-        book.admit(attempt)
-        book.start(attempt)
-        assert book.void(attempt) is RunState.STARTED
-        book.close(attempt)
-        assert book.void(attempt) is RunState.FINISHED
-
-    def test_refused_before_the_start_is_void(self, book, clock):
-        attempt = attempt_made_at(clock.wall_s())
-        book.admit(attempt)
-        book.close(attempt)
-        assert book.void(attempt) is RunState.VOID
-
-    def test_refused_by_the_engine_is_void(self, book, clock):
-        attempt = attempt_made_at(clock.wall_s())
-        book.admit(attempt)
-        book.start(attempt)
-        book.close(attempt, did_not_run=True)
-        assert book.void(attempt) is RunState.VOID
+            run_ledger.start(attempt)
+
+    def test_comes_too_late_for_started_attempt(self, run_ledger, clock):
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.admit(attempt)
+        run_ledger.start(attempt)
+        assert run_ledger.void(attempt) is RunState.STARTED
+        run_ledger.close(attempt)
+        assert run_ledger.void(attempt) is RunState.FINISHED
+
+    def test_refused_before_the_start_is_void(self, run_ledger, clock):
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.admit(attempt)
+        run_ledger.close(attempt)
+        assert run_ledger.void(attempt) is RunState.VOID
+
+    def test_refused_by_the_engine_is_void(self, run_ledger, clock):
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.admit(attempt)
+        run_ledger.start(attempt)
+        run_ledger.close(attempt, did_not_run=True)
+        assert run_ledger.void(attempt) is RunState.VOID
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.KILLED, Step.SENT)
-    def test_of_an_earlier_process_is_not_known(self, book, clock):
-        """A caller reads "not run" for work that ran.
+    def test_of_an_earlier_process_is_not_known(self, run_ledger, clock):
+        """Guards against a false "not run" after a sidecar is killed.
 
-        The sidecar is killed after it passed the work on; the entry's
-        question reaches the next process on that port, which knows of
-        no such attempt.
+        The sidecar is killed after it sent the request to the backend
+        server.  The entry's void request reaches the next process on that
+        port, which has no record of the attempt.
         """
-        attempt = attempt_made_at(clock.wall_s())
-        book.admit(attempt)
-        book.start(attempt)
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.admit(attempt)
+        run_ledger.start(attempt)
         clock.now_s += 1.0
         successor = ledger.RunLedger(clock)
         assert successor.void(attempt) is RunState.FORGOTTEN
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.FROZEN, Step.BEFORE_ADMISSION)
-    def test_is_not_outlived_by_the_attempt(self, book, clock):
-        """A caller reads "not run", and the work runs an hour later.
+    def test_attempt_does_not_outlive_its_void(self, run_ledger, clock):
+        """Guards against a run after the caller received "not run".
 
-        The attempt sat in a socket until the void was forgotten.
+        The attempt waits in a socket buffer until its void has expired.
         """
-        attempt = attempt_made_at(clock.wall_s())
-        book.void(attempt)
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.void(attempt)
         clock.now_s += 2 * ledger.WINDOW_S
-        book.void(attempt_made_at(clock.wall_s()))
-        assert len(book) == 1
+        run_ledger.void(attempt_created_at(clock.wall_s()))
+        assert len(run_ledger) == 1
         with pytest.raises(errors.RefusalError) as caught:
-            book.admit(attempt)
+            run_ledger.admit(attempt)
         assert caught.value.kind is errors.ErrorKind.ATTEMPT_OUT_OF_WINDOW
 
-    def test_wall_clock_set_back_does_not_make_it_young(self, book, clock):
-        attempt = attempt_made_at(clock.wall_s())
-        book.void(attempt)
+    def test_stays_expired_if_the_wall_clock_is_set_back(
+        self, run_ledger, clock
+    ):
+        attempt = attempt_created_at(clock.wall_s())
+        run_ledger.void(attempt)
         clock.now_s += 2 * ledger.WINDOW_S
         clock.wall_offset_s -= 2 * ledger.WINDOW_S
-        book.void(attempt_made_at(clock.wall_s(), 1))
-        assert book.state(attempt) is None
+        run_ledger.void(attempt_created_at(clock.wall_s(), 1))
+        assert run_ledger.state(attempt) is None
         with pytest.raises(errors.RefusalError):
-            book.admit(attempt)
+            run_ledger.admit(attempt)
 
-    def test_ahead_of_the_skew_is_refused(self, book, clock):
+    def test_ahead_of_the_skew_is_refused(self, run_ledger, clock):
         ahead_s = clock.wall_s() + ledger.MAX_CLOCK_SKEW_S + 0.1
         with pytest.raises(errors.RefusalError):
-            book.admit(attempt_made_at(ahead_s))
-        assert book.void(attempt_made_at(ahead_s)) is RunState.FORGOTTEN
+            run_ledger.admit(attempt_created_at(ahead_s))
+        assert (
+            run_ledger.void(attempt_created_at(ahead_s)) is RunState.FORGOTTEN
+        )
 
 
 class TestMemory:
-    def test_running_is_kept_and_finished_is_dropped(self, book, clock):
-        running = attempt_made_at(clock.wall_s(), 1)
-        done = attempt_made_at(clock.wall_s(), 2)
+    def test_running_is_kept_and_finished_is_dropped(self, run_ledger, clock):
+        running = attempt_created_at(clock.wall_s(), 1)
+        done = attempt_created_at(clock.wall_s(), 2)
         for attempt in (running, done):
-            book.admit(attempt)
-            book.start(attempt)
-        book.close(done)
+            run_ledger.admit(attempt)
+            run_ledger.start(attempt)
+        run_ledger.close(done)
         clock.now_s += ledger.WINDOW_S + 1.0
-        book.void(attempt_made_at(clock.wall_s(), 3))
-        assert book.state(running) is RunState.STARTED
-        assert book.state(done) is None
-        assert book.void(done) is RunState.FORGOTTEN
+        run_ledger.void(attempt_created_at(clock.wall_s(), 3))
+        assert run_ledger.state(running) is RunState.STARTED
+        assert run_ledger.state(done) is None
+        assert run_ledger.void(done) is RunState.FORGOTTEN
 
 
 class NotRunMachine(stateful.RuleBasedStateMachine):
-    """A void that was confirmed never runs, and what ran is never void.
+    """Checks that no void attempt has run or runs later.
 
-    Entries with clocks of any skew send attempts to one sidecar, which
-    is killed and replaced; what was sent to a process dies with it.  An
-    entry asks for a void only after it has closed its connection, so it
-    sends nothing new; what is in the socket still arrives.
+    Entries with arbitrary clock skew send attempts to one sidecar, which
+    is killed and replaced.  Attempts sent to a process are lost with it.
+    An entry voids an attempt only after it has closed its connection, so
+    it sends nothing more, but data in the socket buffer still arrives.
     """
 
     def __init__(self):
         super().__init__()
         self.clock = clocks.ManualClock(wall_offset_s=EPOCH_S)
-        self.book = ledger.RunLedger(self.clock)
+        self.run_ledger = ledger.RunLedger(self.clock)
         self.sent = {}
         self.arrived = set()
         self.voided = set()
         self.runs = collections.Counter()
-        self.made = 0
+        self.created_count = 0
 
     attempts = stateful.Bundle('attempts')
 
-    @stateful.precondition(lambda self: self.made < MOST_ATTEMPTS)
+    @stateful.precondition(lambda self: self.created_count < MAX_ATTEMPTS)
     @stateful.rule(
         target=attempts,
         skew_s=strategies.sampled_from(
@@ -167,27 +171,32 @@
         ),
     )
     def send(self, skew_s):
-        self.made += 1
-        attempt = attempt_made_at(self.clock.wall_s() + skew_s, self.made)
-        self.sent[attempt] = self.book
+        self.created_count += 1
+        attempt = attempt_created_at(
+            self.clock.wall_s() + skew_s, self.created_count
+        )
+        self.sent[attempt] = self.run_ledger
         return attempt
 
     @stateful.rule(attempt=attempts)
     def arrive(self, attempt):
-        if self.sent[attempt] is not self.book or attempt in self.arrived:
+        if (
+            self.sent[attempt] is not self.run_ledger
+            or attempt in self.arrived
+        ):
             return
         self.arrived.add(attempt)
         try:
-            self.book.admit(attempt)
+            self.run_ledger.admit(attempt)
         except errors.RefusalError as error:
             assert error.outcome is errors.Outcome.NOT_RUN
 
     @stateful.rule(attempt=attempts)
     def start(self, attempt):
-        if self.sent[attempt] is not self.book:
+        if self.sent[attempt] is not self.run_ledger:
             return
         try:
-            self.book.start(attempt)
+            self.run_ledger.start(attempt)
         except errors.RefusalError:
             return
         self.runs[attempt] += 1
@@ -199,16 +208,16 @@
 
     @stateful.rule(attempt=attempts, did_not_run=strategies.booleans())
     def close(self, attempt, did_not_run):
-        is_here = self.sent[attempt] is self.book
-        if is_here and self.book.state(attempt) is RunState.STARTED:
+        is_here = self.sent[attempt] is self.run_ledger
+        if is_here and self.run_ledger.state(attempt) is RunState.STARTED:
             self.runs[attempt] -= did_not_run
-            self.book.close(attempt, did_not_run)
-        elif is_here and self.book.state(attempt) is RunState.QUEUED:
-            self.book.close(attempt)
+            self.run_ledger.close(attempt, did_not_run)
+        elif is_here and self.run_ledger.state(attempt) is RunState.QUEUED:
+            self.run_ledger.close(attempt)
 
     @stateful.rule(attempt=attempts)
     def void(self, attempt):
-        if self.book.void(attempt) is RunState.VOID:
+        if self.run_ledger.void(attempt) is RunState.VOID:
             self.voided.add(attempt)
 
     @stateful.rule(seconds=strategies.sampled_from([0.1, 6.0, 601.0]))
@@ -217,7 +226,7 @@
 
     @stateful.rule()
     def replace_sidecar(self):
-        self.book = ledger.RunLedger(self.clock)
+        self.run_ledger = ledger.RunLedger(self.clock)
 
     @stateful.invariant()
     def voided_never_ran(self):
