--- a/lacewingpitch/claim.py
+++ b/lacewingpitch/claim.py
@@ -31,6 +31,7 @@
 _MAX_BACKOFF_S = 0.2
 _MAX_ROUNDS = 12
 _OUTCOME_POLL_S = 0.1
+# Delay after which the voters beyond the quorum are asked as well.
 _SPARE_VOTER_DELAY_S = 0.025
 MAX_CACHED_ANSWER_BYTES = 64 << 10
 MAX_CACHED_BYTES = 16 << 20
@@ -187,8 +188,8 @@
         instance: live_list.Instance,
         message: voter_module.WithdrawRequest,
     ) -> None:
-        # A lost withdrawal blocks the key at one voter until its window
-        # ends.  It cannot cause a request to run twice.
+        # A lost withdrawal blocks the key at one voter until the key
+        # expires.  It cannot cause a request to run twice.
         for _ in range(_MAX_WITHDRAW_ATTEMPTS):
             try:
                 await self.links.withdraw(instance, message)
@@ -274,8 +275,8 @@
         if not self._order.idempotency_key:
             return
         # A process that was frozen may get here long after the votes were
-        # granted.  Votes do not expire while their key is valid, so the
-        # claim holds as long as its round has not been ended.
+        # granted.  No voter grants the key to another claim unless this
+        # one withdraws, so the claim holds while its round has not ended.
         if self._ballot is None or not self._ballot.is_won:
             raise errors.RefusalError(
                 errors.ErrorKind.CLAIM_UNAVAILABLE, 'the claim is incomplete'
--- a/lacewingpitch/ledger.py
+++ b/lacewingpitch/ledger.py
@@ -23,8 +23,7 @@
 
     ``VOID`` is a tombstone: the sidecar promises never to run the
     attempt.  ``FORGOTTEN`` means that this process cannot know the
-    state, because it no longer holds, or never held, records that go
-    back far enough.
+    state, because its records do not go back far enough.
     """
 
     QUEUED = 'queued'
@@ -81,8 +80,8 @@
 
     def state(self, attempt_id: str) -> RunState | None:
         """Return the state of an attempt, ``None`` if it has no entry."""
-        found = self._entries.get(attempt_id)
-        return None if found is None else found.state
+        entry = self._entries.get(attempt_id)
+        return None if entry is None else entry.state
 
     def admit(self, attempt_id: str) -> None:
         """Record that an attempt has arrived.
@@ -95,12 +94,12 @@
             too far ahead.
         """
         self._expire_old_entries()
-        found = self.state(attempt_id)
-        if found is None:
+        state = self.state(attempt_id)
+        if state is None:
             self._check_window(attempt_id)
             self._set(attempt_id, RunState.QUEUED)
             return
-        if found is RunState.VOID:
+        if state is RunState.VOID:
             raise _withdrawn_error()
         raise errors.RefusalError(
             errors.ErrorKind.KEY_IN_USE, 'this attempt has already arrived'
@@ -141,10 +140,10 @@
         An attempt that never started becomes void, and so does one of
         which the backend server reports that it did not run.
         """
-        found = self.state(attempt_id)
-        if found is RunState.QUEUED or did_not_run:
+        state = self.state(attempt_id)
+        if state is RunState.QUEUED or did_not_run:
             self._set(attempt_id, RunState.VOID)
-        elif found is RunState.STARTED:
+        elif state is RunState.STARTED:
             self._set(attempt_id, RunState.FINISHED)
 
     def void(self, attempt_id: str) -> RunState:
@@ -153,13 +152,13 @@
         An attempt that arrives after it was voided is refused.
         """
         self._expire_old_entries()
-        found = self.state(attempt_id)
-        if found is None and not self._is_covered(attempt_id):
+        state = self.state(attempt_id)
+        if state is None and not self._is_covered(attempt_id):
             return RunState.FORGOTTEN
-        if found is None or found is RunState.QUEUED:
+        if state is None or state is RunState.QUEUED:
             self._set(attempt_id, RunState.VOID)
             return RunState.VOID
-        return found
+        return state
 
     def _is_covered(self, attempt_id: str) -> bool:
         # An earlier process on the same port may have run the attempt
--- a/lacewingpitch/voter.py
+++ b/lacewingpitch/voter.py
@@ -313,8 +313,8 @@
         refusal = self._check_time(request) or self._check_lists(request)
         if refusal is not None:
             return refusal
-        name = (request.customer, request.key)
-        vote = self._votes.get(name)
+        customer_key = (request.customer, request.key)
+        vote = self._votes.get(customer_key)
         if vote is None:
             if len(self._votes) >= self._max_votes:
                 # Evicting a vote to make room could let a request run
@@ -323,20 +323,20 @@
                     verdict=Verdict.TABLE_FULL,
                     retry_after_s=self._time_until_expiry_s(),
                 )
-            vote = self._add_vote(name)
+            vote = self._add_vote(customer_key)
         return self._decide(vote, request)
 
     def withdraw(self, request: WithdrawRequest) -> WithdrawReply:
         """Release the vote of a claim, and never grant it one again."""
-        name = (request.customer, request.key)
+        customer_key = (request.customer, request.key)
         self._expire_old_keys()
         if idempotency.created_at_s(request.key) < self._oldest_key_s:
             return WithdrawReply()
-        vote = self._votes.get(name)
+        vote = self._votes.get(customer_key)
         if vote is None:
             if len(self._votes) >= self._max_votes:
                 return WithdrawReply()
-            vote = self._add_vote(name)
+            vote = self._add_vote(customer_key)
         # The vote request may arrive after the withdrawal, or be repeated.
         # Granting it then would block the key for a claim that has ended.
         if len(vote.withdrawn) < _MAX_WITHDRAWN_CLAIMS:
@@ -398,10 +398,11 @@
                 return VoteReply(verdict=Verdict.LISTS_DIFFER)
         return None
 
-    def _add_vote(self, name: tuple[str, str]) -> _Vote:
-        vote = self._votes[name] = _Vote()
+    def _add_vote(self, customer_key: tuple[str, str]) -> _Vote:
+        vote = self._votes[customer_key] = _Vote()
         heapq.heappush(
-            self._keys_by_age, (idempotency.created_at_s(name[1]), name)
+            self._keys_by_age,
+            (idempotency.created_at_s(customer_key[1]), customer_key),
         )
         return vote
 
--- a/tests/test_claim_processes.py
+++ b/tests/test_claim_processes.py
@@ -1,4 +1,7 @@
-"""At most once, with real processes frozen, restarted and cut off."""
+"""Tests that keyed requests run at most once, with real processes.
+
+Sidecars are frozen, restarted and partitioned.
+"""
 
 import asyncio
 import time
@@ -32,27 +35,31 @@
 
 
 async def runs_of(deployment, key):
-    """Return the runs of a key at all engines, by their own account."""
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    """Return the runs of a key that the engines have recorded."""
+    records = [await deployment.truth(e) for e in deployment.engines]
     return [
-        run for truth in truths for run in truth.runs if key in str(run.body)
+        run
+        for record in records
+        for run in record.runs
+        if key in str(run.body)
     ]
 
 
-async def backed(deployment, *entries):
-    """Wait until the voters, being new, back keys sent through entries."""
+async def wait_for_votes(deployment, *entries):
+    """Wait until the new voters grant keys sent through the entries."""
 
-    async def is_backed(entry):
+    async def is_granted(entry):
         status, _, _ = await send(
             deployment, entry, processes.new_key(), 'fern'
         )
         return status == 200
 
     for entry in entries:
-        await processes.until(lambda entry=entry: is_backed(entry))
+        await processes.until(lambda entry=entry: is_granted(entry))
 
 
-def claims_made(deployment):
+def claim_counts(deployment):
+    """Return the number of claims that each sidecar has won."""
     return [
         sum(line['event'] == 'claimed' for line in sidecar.log)
         for sidecar in deployment.sidecars
@@ -73,12 +80,13 @@
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.DUPLICATE, Step.CLAIMED)
     @pytest.mark.proves(Promise.NOT_RUN, Fault.FROZEN, Step.CLAIMED)
     async def test_frozen_winner_stays_the_only_one(self, deployment):
-        """A balcony is watered twice, minutes apart.
+        """Guards against a second run by a sidecar that was frozen.
 
-        A sidecar is frozen after its claim, while the adapter loads.  The
-        platform drops it; the caller sends the same key through another
-        entry, and is answered.  Then the frozen sidecar wakes and passes
-        the work on, acting on an old view of the world.
+        A sidecar freezes after it has won its claim, while the adapter
+        loads.  The platform removes it from the list, and the caller
+        retries with the same key through another entry and receives an
+        answer.  Then the frozen sidecar wakes with an outdated list and
+        runs the request.
         """
         for zone in 'abcde':
             await deployment.add_engine(
@@ -86,19 +94,19 @@
             )
         first_entry = await deployment.add_entry(**CLOCKS)
         await deployment.publish()
-        await backed(deployment, first_entry)
-        before = claims_made(deployment)
+        await wait_for_votes(deployment, first_entry)
+        counts_before = claim_counts(deployment)
         key = processes.new_key()
         first = asyncio.create_task(send(deployment, first_entry, key))
 
         async def is_claimed():
-            return claims_made(deployment) != before
+            return claim_counts(deployment) != counts_before
 
         await processes.until(is_claimed)
         (number,) = (
             n
-            for n, made in enumerate(claims_made(deployment))
-            if made != before[n]
+            for n, count in enumerate(claim_counts(deployment))
+            if count != counts_before[n]
         )
         assert not await runs_of(deployment, key)
         deployment.sidecars[number].freeze()
@@ -116,12 +124,13 @@
         assert len(await runs_of(deployment, key)) == 1
 
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.FROZEN, Step.QUEUED)
-    async def test_frozen_voters_refuse_nothing_wrongly(self, deployment):
-        """A command is refused for good, or runs twice, after a pause.
+    async def test_key_is_usable_after_frozen_voters_wake(self, deployment):
+        """Guards against a key that stays blocked, or that runs twice.
 
-        Two voters are frozen, so the claim cannot be complete: the caller
-        is refused, "not run".  They wake and get the old requests for
-        votes; the caller sends the same key again, and it runs once.
+        Two voters are frozen, so the claim cannot get its quorum and the
+        caller receives "not run".  The voters wake and receive the old
+        vote requests.  The caller retries with the same key, and the
+        request runs once.
         """
         for zone in 'abcde':
             await deployment.add_engine(
@@ -129,8 +138,8 @@
             )
         entry = await deployment.add_entry(**CLOCKS)
         await deployment.publish()
-        await backed(deployment, entry)
-        home = max(range(5), key=claims_made(deployment).__getitem__)
+        await wait_for_votes(deployment, entry)
+        home = max(range(5), key=claim_counts(deployment).__getitem__)
         frozen = [s for n, s in enumerate(deployment.sidecars) if n != home]
         for sidecar in frozen[:2]:
             sidecar.freeze()
@@ -145,8 +154,8 @@
             sidecar.wake()
 
         async def is_served():
-            found = await send(deployment, entry, key, 'fern')
-            return found[0] == 200
+            response = await send(deployment, entry, key, 'fern')
+            return response[0] == 200
 
         await processes.until(is_served)
         await send(deployment, entry, key, 'fern')
@@ -155,11 +164,12 @@
 
 class TestRestarted:
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.KILLED, Step.ANY)
-    async def test_restarted_voters_back_no_older_key(self, deployment):
-        """A buyer gets two quotes that disagree.
+    async def test_restarted_voters_refuse_older_keys(self, deployment):
+        """Guards against a second run after all sidecars restart.
 
-        A request runs; all sidecars are killed and come back with empty
-        memories; the caller, whose answer was lost, sends the key again.
+        A request runs, and all sidecars are killed and restarted without
+        their votes.  The caller, whose answer was lost, retries with the
+        same key.
         """
         for zone in 'abcde':
             await deployment.add_engine(
@@ -167,7 +177,7 @@
             )
         entries = [await deployment.add_entry(**CLOCKS) for _ in range(2)]
         await deployment.publish()
-        await backed(deployment, *entries)
+        await wait_for_votes(deployment, *entries)
         key = processes.new_key()
         assert (await send(deployment, entries[0], key))[0] == 200
         for number, old in enumerate(deployment.sidecars):
@@ -178,7 +188,7 @@
                 deployment.instances[number], **new.ports
             )
         await deployment.publish_instances()
-        await backed(deployment, *entries)
+        await wait_for_votes(deployment, *entries)
         for entry in entries:
             status, headers, _ = await send(deployment, entry, key)
             assert status == 409
@@ -192,7 +202,7 @@
         await deployment.add_engine(**CLOCKS)
         entry = await deployment.add_entry(**CLOCKS)
         await deployment.publish()
-        await backed(deployment, entry)
+        await wait_for_votes(deployment, entry)
         now_s = time.time()
         for key, expected in (
             ('quote-7', (400, 'bad-idempotency-key', 'not-run')),
@@ -211,12 +221,15 @@
             assert (status, kind, headers[work.OUTCOME_HEADER]) == expected
             assert not await runs_of(deployment, key)
 
-    async def test_one_spelling_and_one_body(self, deployment):
-        """A caller that writes its key in capitals is served twice."""
+    async def test_key_ignores_case_and_has_one_body(self, deployment):
+        """Guards against two runs of a key written in different case.
+
+        A different body with the same key must be refused.
+        """
         await deployment.add_engine(**CLOCKS)
         entry = await deployment.add_entry(**CLOCKS)
         await deployment.publish()
-        await backed(deployment, entry)
+        await wait_for_votes(deployment, entry)
         key = processes.new_key()
         answers = []
         for text in (key, key.upper()):
@@ -237,12 +250,12 @@
 
 
 def key_with(sides, left_voters):
-    """Return a key that has so many voters on the left."""
+    """Return a key that has `left_voters` voters on the left side."""
     left = {i.name for i in sides.sidecars[: sides.left_count]}
     while True:
         key = processes.new_key()
-        found = voter.select_voters(CUSTOMER, key, '', sides.sidecars)
-        if len(found.names & left) == left_voters:
+        voters = voter.select_voters(CUSTOMER, key, '', sides.sidecars)
+        if len(voters.names & left) == left_voters:
             return key
 
 
@@ -251,7 +264,7 @@
     async with sides_module.Sides(
         deployment, zones='aabbcdd', left_count=5, **CLOCKS
     ) as found:
-        await backed(deployment, *deployment.entries)
+        await wait_for_votes(deployment, *deployment.entries)
         yield found
 
 
@@ -261,11 +274,11 @@
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.HALF_OPEN, Step.QUEUED)
     @pytest.mark.parametrize('how', ['cut', 'half-open', 'one-way'])
     async def test_both_sides_serving(self, deployment, sides, how):
-        """A household's command runs in both halves of a split fleet.
+        """Guards against a run on each side of a network partition.
 
-        The fleet is split, and both sides go on serving.  The caller
-        sends each key through an entry on either side at once, and, when
-        the links heal, once more.
+        Both sides of the partition continue to serve.  The caller sends
+        each key through an entry on both sides at once, and once more
+        when the links are restored.
         """
         await sides.split(how)
         await sides.publish(live_list.InstanceState.LEAVING)
@@ -276,11 +289,11 @@
         answers = await asyncio.gather(
             *(self.send_to_both(deployment, key) for key in keys)
         )
-        for left, key, found in zip(lefts, keys, answers, strict=True):
-            statuses = [status for status, _, _ in found]
+        for left, key, responses in zip(lefts, keys, answers, strict=True):
+            statuses = [status for status, _, _ in responses]
             if how == 'one-way' and left >= 4 and statuses[0] != 200:
-                # The right's requests for votes still arrive and may
-                # block the key until its round is over.
+                # Vote requests of the right side still arrive, and may
+                # block the key until its round has ended.
                 await processes.until(
                     lambda key=key: self.serves(
                         deployment, deployment.entries[0], key
@@ -288,13 +301,16 @@
                 )
                 statuses[0] = 200
             runs = await runs_of(deployment, key)
-            # Four of five voters are needed, and the right has two.
+            # A claim needs four of five votes, and the right side has two
+            # voters at most.
             assert len(runs) == statuses.count(200) == int(left >= 4)
             assert statuses[1] != 200
         await sides.heal()
         await sides.publish(live_list.InstanceState.LIVE)
         for key in keys:
-            await processes.until(lambda key=key: self.agree(deployment, key))
+            await processes.until(
+                lambda key=key: self.both_return_the_answer(deployment, key)
+            )
             assert len(await runs_of(deployment, key)) == 1
 
     @staticmethod
@@ -304,10 +320,10 @@
         )
 
     @classmethod
-    async def agree(cls, deployment, key):
-        """Return whether both entries give the one answer."""
-        one, other = await cls.send_to_both(deployment, key)
-        return one[0] == other[0] == 200 and one[2] == other[2]
+    async def both_return_the_answer(cls, deployment, key):
+        """Whether both entries return the same answer."""
+        left, right = await cls.send_to_both(deployment, key)
+        return left[0] == right[0] == 200 and left[2] == right[2]
 
     @staticmethod
     async def serves(deployment, entry, key=''):
--- a/tests/test_not_run_processes.py
+++ b/tests/test_not_run_processes.py
@@ -1,4 +1,7 @@
-"""What callers are told, held against what the backend servers ran."""
+"""Tests of reported outcomes against the runs at the backend servers.
+
+Real processes and links fail while requests are in progress.
+"""
 
 import asyncio
 import contextlib
@@ -31,8 +34,8 @@
         yield found
 
 
-def add_customers(deployment):
-    """Add one whose adapter may run twice and one whose may run once."""
+def add_customer_contracts(deployment):
+    """Add a customer with repeatable requests, and one without."""
     deployment.add_customer('again', 'fern', 'moss', deadline_s=DEADLINE_S)
     deployment.add_customer(
         'once',
@@ -40,13 +43,13 @@
         deadline_s=DEADLINE_S,
         services=(contract.ServiceGrant(name='plain'),),
     )
-    found = deployment.contracts['once']
+    once = deployment.contracts['once']
     grants = tuple(
         msgspec.structs.replace(grant, repeatable=False)
-        for grant in found.adapters
+        for grant in once.adapters
     )
     deployment.contracts['once'] = msgspec.structs.replace(
-        found, adapters=grants
+        once, adapters=grants
     )
 
 
@@ -54,13 +57,13 @@
     for _ in range(sidecars):
         await deployment.add_engine(*options)
     await deployment.add_entry()
-    add_customers(deployment)
+    add_customer_contracts(deployment)
     await deployment.publish()
 
 
 @contextlib.asynccontextmanager
-async def relayed(deployment, port='work_port'):
-    """Put a relay between the entries and a port of the first sidecar."""
+async def relay_to_sidecar(deployment, port='work_port'):
+    """Run a relay between the entries and a port of the first sidecar."""
     sidecar = deployment.instances[0]
     async with relay_module.Relay(getattr(sidecar, port)) as relay:
         deployment.instances[0] = msgspec.structs.replace(
@@ -81,42 +84,45 @@
 
 
 async def runs_of(deployment, request_id):
-    truths = [await deployment.truth(e) for e in deployment.engines]
+    records = [await deployment.truth(e) for e in deployment.engines]
     return [
         run
-        for truth in truths
-        for run in truth.runs
+        for record in records
+        for run in record.runs
         if run.run_id.startswith(request_id)
     ]
 
 
-async def running(deployment, engine):
+async def running_count(deployment, engine):
     async with deployment.session.get(engine.url + '/v1/report') as response:
         return (await response.json())['running']
 
 
 async def any_run(deployment):
-    truths = [await deployment.truth(e) for e in deployment.engines]
-    return any(truth.runs for truth in truths)
+    records = [await deployment.truth(e) for e in deployment.engines]
+    return any(record.runs for record in records)
 
 
-async def loading(deployment):
+async def is_loading(deployment):
     async with deployment.session.get(
         deployment.engines[0].url + '/v1/report'
     ) as response:
         return (await response.json())['last_fencing'] > 0
 
 
-def void_marks():
-    """Return what only a void has in it, in each form of messages.
+def void_patterns():
+    """Return bytes that occur only in void requests, for each encoding.
 
-    The entry also asks how far an attempt got, which voids nothing.
+    The entry also sends `VoidRequest` messages that only ask for the
+    state of an attempt.  They must not match.
     """
     attempt_id = 'x' * len(voiding.attempt_id(processes.new_key(), 1))
     message = voiding.VoidRequest(attempt_id=attempt_id, instance='sidecar-0')
     signer = link.MessageSigner('test', 'secret', 'entry-0')
     short = signer.sign_short(message).partition(attempt_id.encode())[0]
-    # From the code of the kind on; its count of fields leaves none out.
+    # The pattern of the short encoding spans the code of the message kind
+    # and the number of fields.  Trailing fields with default values are
+    # omitted, so a message with `only_asks` set has one field more.
     code = msgspec.msgpack.encode(link.kind_code('VoidRequest'))
     only_asks = msgspec.msgpack.encode('only_asks')
     return (
@@ -125,8 +131,8 @@
     )
 
 
-async def first_of(events):
-    """Wait until one of some events is set."""
+async def wait_for_any(events):
+    """Wait until any of the events is set."""
 
     async def is_set():
         return any(event.is_set() for event in events)
@@ -134,35 +140,38 @@
     await processes.until(is_set)
 
 
-async def answering(deployment, process):
+async def is_ready(deployment, process):
     with contextlib.suppress(aiohttp.ClientError):
-        async with deployment.session.get(process.url + '/readyz') as found:
-            return found.status == 200
+        async with deployment.session.get(process.url + '/readyz') as response:
+            return response.status == 200
     return False
 
 
-def numbers(text):
-    """Return which tokens of the made-up answer arrived."""
+def token_numbers(text):
+    """Return the numbers of the tokens in the stand-in engine's answer."""
     return [int(n) for n in re.findall(r':(\d+) ', text)]
 
 
-async def check_truth(deployment, outcome, request_id):
-    """Hold an outcome against the truth once all has settled."""
+async def check_outcome(deployment, outcome, request_id):
+    """Check an outcome against the engines' records once they are idle.
+
+    Returns the runs of the request.
+    """
     for engine in deployment.engines:
 
-        async def idle(engine=engine):
-            return not await running(deployment, engine)
+        async def is_idle(engine=engine):
+            return not await running_count(deployment, engine)
 
-        await processes.until(idle)
-    found = await runs_of(deployment, request_id)
+        await processes.until(is_idle)
+    runs = await runs_of(deployment, request_id)
     if outcome == 'not-run':
-        assert not found
+        assert not runs
     if outcome == 'served':
-        assert found
+        assert runs
     for engine in deployment.engines:
-        truth = await deployment.truth(engine)
-        assert not truth.evictions_under_run
-    return found
+        record = await deployment.truth(engine)
+        assert not record.evictions_under_run
+    return runs
 
 
 class TestFrozenSidecar:
@@ -177,31 +186,33 @@
             ]
         ],
     )
-    async def test_woken_late_breaks_no_word(self, deployment, step, customer):
-        """A caller reads "not run", and the pot is watered afterwards.
+    async def test_outcome_holds_after_it_wakes(
+        self, deployment, step, customer
+    ):
+        """Guards against a run after the caller received "not run".
 
-        The sidecar freezes with the request in its socket, its queue or
-        at the engine; the entry gives up, the caller is answered, then
-        the sidecar wakes and goes on with what it has.
+        The sidecar freezes while the request is in its socket buffer, in
+        its queue or at the engine.  The entry gives up and answers the
+        caller.  Then the sidecar wakes and continues with the request.
         """
         await start(deployment, '--load-s', '0.4', '--token-s', '0.1')
         sidecar = deployment.sidecars[0]
         if step is Step.BEFORE_ADMISSION:
             sidecar.freeze()
         adapter = 'fern' if customer == 'again' else 'ficus'
-        asking = asyncio.create_task(ask(deployment, customer, adapter))
+        pending = asyncio.create_task(ask(deployment, customer, adapter))
         if step is Step.LOADING:
-            await processes.until(lambda: loading(deployment))
+            await processes.until(lambda: is_loading(deployment))
             sidecar.freeze()
         if step is Step.SENT:
             await processes.until(lambda: any_run(deployment))
             sidecar.freeze()
-        outcome, request_id, _ = await asking
+        outcome, request_id, _ = await pending
         assert outcome == 'unknown'
         sidecar.wake()
-        await processes.until(lambda: answering(deployment, sidecar))
-        found = await check_truth(deployment, outcome, request_id)
-        assert len(found) <= 1
+        await processes.until(lambda: is_ready(deployment, sidecar))
+        runs = await check_outcome(deployment, outcome, request_id)
+        assert len(runs) <= 1
 
     @pytest.mark.proves(
         Promise.NOT_RUN, Fault.LIST_WRONG, Step.BEFORE_ADMISSION
@@ -210,10 +221,11 @@
         Promise.NOT_RUN, Fault.TWO_FAULTS, Step.BEFORE_ADMISSION
     )
     async def test_list_that_mixes_up_ports(self, deployment):
-        """A caller reads "not run", and the pot is watered afterwards.
+        """Guards against a run after the caller received "not run".
 
-        The list gives a frozen sidecar the control port of another, which
-        promises that the request will not run; then the first wakes.
+        The list names the control port of another sidecar for a frozen
+        one.  The other sidecar is asked to void the attempt.  Then the
+        frozen one wakes.
         """
         for _ in range(2):
             await deployment.add_engine()
@@ -222,7 +234,7 @@
             msgspec.structs.replace(frozen, control_port=other.control_port)
         ]
         await deployment.add_entry()
-        add_customers(deployment)
+        add_customer_contracts(deployment)
         await deployment.publish()
         await processes.until(lambda: deployment.promises(other))
         deployment.sidecars[0].freeze()
@@ -230,14 +242,14 @@
         assert outcome == 'unknown'
         deployment.sidecars[0].wake()
         await processes.until(
-            lambda: answering(deployment, deployment.sidecars[0])
+            lambda: is_ready(deployment, deployment.sidecars[0])
         )
-        await check_truth(deployment, outcome, request_id)
+        await check_outcome(deployment, outcome, request_id)
 
     @pytest.mark.proves(Promise.NOT_RUN, Fault.FROZEN, Step.ANY)
     @pytest.mark.proves(Promise.NOT_RUN, Fault.HALF_OPEN, Step.ANY)
     @pytest.mark.parametrize(
-        ('finds', 'allowed'),
+        ('arrival', 'allowed'),
         [
             ('the request', {'served'}),
             ('both', {'served', 'not-run', 'unknown'}),
@@ -245,58 +257,61 @@
             ('the request first', {'served', 'not-run', 'unknown'}),
         ],
     )
-    async def test_woken_while_it_is_asked(self, deployment, finds, allowed):
-        """As above, with the question waiting beside the request.
+    async def test_woken_while_it_is_asked(self, deployment, arrival, allowed):
+        """As above, but the void request waits beside the request.
 
-        Whatever the sidecar finds first when it wakes, the outcome must
-        agree with what it does.  The links hold back what it is not to
-        find yet.
+        The outcome must agree with the runs, whichever of the two the
+        sidecar reads first when it wakes.  The relays hold back the
+        message that must not arrive yet.
         """
         await deployment.add_engine()
         listed = deployment.instances[0]
         async with (
-            relayed(deployment) as work_link,
-            relayed(deployment, 'control_port') as control_link,
+            relay_to_sidecar(deployment) as work_link,
+            relay_to_sidecar(deployment, 'control_port') as control_link,
         ):
             await deployment.add_entry()
-            add_customers(deployment)
+            add_customer_contracts(deployment)
             await deployment.publish()
             await processes.until(lambda: deployment.promises(listed))
-            sent = work_link.wait_for(b'POST /run')
-            asked = [control_link.wait_for(mark) for mark in void_marks()]
+            request_sent = work_link.wait_for(b'POST /run')
+            void_sent = [
+                control_link.wait_for(pattern) for pattern in void_patterns()
+            ]
             sidecar = deployment.sidecars[0]
             sidecar.freeze()
-            # Else the sidecar drops a request whose caller has gone.
+            # Otherwise the sidecar drops the request, since its connection
+            # is closed.
             work_link.loses_ends = True
-            if finds == 'the question first':
+            if arrival == 'the question first':
                 work_link.half_open()
-            if finds == 'the request first':
+            if arrival == 'the request first':
                 control_link.half_open()
-            asking = asyncio.create_task(ask(deployment, 'once', 'ficus'))
+            pending = asyncio.create_task(ask(deployment, 'once', 'ficus'))
             async with asyncio.timeout(processes.WAIT_S):
-                await sent.wait()
-                if finds != 'the request':
-                    await first_of(asked)
-            assert not asking.done()
+                await request_sent.wait()
+                if arrival != 'the request':
+                    await wait_for_any(void_sent)
+            assert not pending.done()
             sidecar.wake()
-            if finds == 'the request first':
-                await processes.until(lambda: answering(deployment, sidecar))
+            if arrival == 'the request first':
+                await processes.until(lambda: is_ready(deployment, sidecar))
                 control_link.heal()
-            outcome, request_id, _ = await asking
+            outcome, request_id, _ = await pending
             work_link.heal()
             assert outcome in allowed
-            await processes.until(lambda: answering(deployment, sidecar))
-            # What was held arrives before what is sent now.
-            again, _, _ = await ask(deployment, 'once', 'ficus')
-            assert again == 'served'
-            found = await check_truth(deployment, outcome, request_id)
-            assert len(found) <= 1
+            await processes.until(lambda: is_ready(deployment, sidecar))
+            # Data that the relay held back arrives before a new request.
+            later_outcome, _, _ = await ask(deployment, 'once', 'ficus')
+            assert later_outcome == 'served'
+            runs = await check_outcome(deployment, outcome, request_id)
+            assert len(runs) <= 1
 
     @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.FROZEN, Step.MID_STREAM)
     async def test_in_mid_stream_ends_in_an_error_event(self, deployment):
-        """A caller's stream stands still for ever.
+        """Guards against a stream that stalls forever.
 
-        The sidecar freezes in the middle; its connection stays open.
+        The sidecar freezes in mid-stream, and its connection stays open.
         """
         await start(deployment, '--token-s', '0.05')
         sidecar = deployment.sidecars[0]
@@ -309,63 +324,64 @@
         ) as response:
             request_id = response.headers[work.REQUEST_ID_HEADER]
             text = ''
-            while len(numbers(text)) < 3:
+            while len(token_numbers(text)) < 3:
                 text += (await response.content.readline()).decode()
             sidecar.freeze()
             text += await response.text()
         assert text.count('event: error') == 1
         assert '"outcome":"partial"' in text
-        assert numbers(text) == list(range(len(numbers(text))))
-        assert 3 <= len(numbers(text)) < TOKENS
+        assert token_numbers(text) == list(range(len(token_numbers(text))))
+        assert 3 <= len(token_numbers(text)) < TOKENS
         sidecar.wake()
-        assert len(await check_truth(deployment, 'partial', request_id)) == 1
+        assert len(await check_outcome(deployment, 'partial', request_id)) == 1
 
 
 class TestKilledSidecar:
     @pytest.mark.proves(Promise.NOT_RUN, Fault.TWO_FAULTS, Step.SENT)
-    async def test_its_successor_does_not_vouch_for_it(self, deployment):
-        """A caller reads "not run" for a watering that was done.
+    async def test_its_successor_does_not_report_not_run(self, deployment):
+        """Guards against a false "not run" after a sidecar is killed.
 
-        The sidecar is killed while the engine works; the next one takes
-        its ports, and the entry asks that one.
+        The sidecar is killed while the engine executes the request.  Its
+        successor uses the same ports and receives the entry's void
+        request.
         """
         await start(deployment, '--token-s', '0.1')
         await deployment.set_faults(deployment.engines[0], runs_on=True)
-        asking = asyncio.create_task(ask(deployment, 'once', 'ficus'))
+        pending = asyncio.create_task(ask(deployment, 'once', 'ficus'))
         await processes.until(lambda: any_run(deployment))
         await deployment.sidecars[0].kill()
         successor = await deployment.spawn_successor(0)
         await successor.listening()
-        outcome, request_id, _ = await asking
+        outcome, request_id, _ = await pending
         assert outcome == 'unknown'
-        assert len(await check_truth(deployment, outcome, request_id)) == 1
+        assert len(await check_outcome(deployment, outcome, request_id)) == 1
 
     @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.KILLED, Step.MID_STREAM)
-    async def test_stream_is_taken_up_at_its_successor(self, deployment):
-        """A caller's stream breaks off when a sidecar is replaced.
+    async def test_stream_is_resumed_at_its_successor(self, deployment):
+        """Guards against a stream that breaks when a sidecar is replaced.
 
-        The sidecar is killed in the middle of a stream that the engine
-        still keeps; its successor can take it up.
+        The sidecar is killed in mid-stream.  The engine still holds the
+        stream, so that the successor can resume it.
         """
         await start(deployment, '--token-s', '0.02')
         await deployment.set_faults(deployment.engines[0], runs_on=True)
-        asking = asyncio.create_task(
+        pending = asyncio.create_task(
             ask(deployment, 'once', 'ficus', stream=True, max_tokens=TOKENS)
         )
         await processes.until(lambda: any_run(deployment))
         old = deployment.sidecars[0]
         successor = await deployment.spawn_successor(0)
 
-        async def waits():
+        async def is_waiting():
             return successor.has_logged('port is held')
 
-        await processes.until(waits)
+        await processes.until(is_waiting)
         await old.kill()
-        _, request_id, text = await asking
-        found = await check_truth(deployment, 'served', request_id)
-        assert len(found) == 1
+        _, request_id, text = await pending
+        runs = await check_outcome(deployment, 'served', request_id)
+        assert len(runs) == 1
         assert text.endswith(END)
-        assert numbers(text) == list(range(TOKENS))
+        assert token_numbers(text) == list(range(TOKENS))
 
 
 class TestCutLink:
@@ -373,42 +389,45 @@
         Promise.WHOLE_ANSWER, Fault.LINK_CUT, Step.BEFORE_DELIVERY
     )
     @pytest.mark.parametrize('customer', ['again', 'once'])
-    async def test_whole_answer_is_asked_for_again(self, deployment, customer):
-        """A buyer gets no quote although one was made.
+    async def test_complete_answer_is_requested_again(
+        self, deployment, customer
+    ):
+        """Guards against a lost answer of a request that has run.
 
-        The link from the entry breaks while the engine works.
+        The connection from the entry breaks while the engine executes the
+        request.
         """
         await deployment.add_engine('--token-s', '0.1')
-        async with relayed(deployment) as relay:
+        async with relay_to_sidecar(deployment) as relay:
             await deployment.add_entry()
-            add_customers(deployment)
+            add_customer_contracts(deployment)
             await deployment.publish()
             adapter = 'fern' if customer == 'again' else 'ficus'
-            asking = asyncio.create_task(ask(deployment, customer, adapter))
+            pending = asyncio.create_task(ask(deployment, customer, adapter))
             await processes.until(lambda: any_run(deployment))
             relay.reset()
-            outcome, request_id, text = await asking
+            outcome, request_id, text = await pending
             assert outcome == 'served'
             assert text.count(':7') == 1
-            found = await check_truth(deployment, outcome, request_id)
-            assert len(found) == 1
+            runs = await check_outcome(deployment, outcome, request_id)
+            assert len(runs) == 1
 
     @pytest.mark.proves(
         Promise.WHOLE_ANSWER, Fault.SAME_TWICE, Step.BEFORE_DELIVERY
     )
-    async def test_finished_answer_is_kept_for_a_while(self, deployment):
-        """As above, but the engine is done when the link breaks, twice."""
+    async def test_finished_answer_is_cached_for_retries(self, deployment):
+        """As above, but the engine has finished, and two connections break."""
         await deployment.add_engine()
-        async with relayed(deployment) as relay:
+        async with relay_to_sidecar(deployment) as relay:
             await deployment.add_entry()
-            add_customers(deployment)
+            add_customer_contracts(deployment)
             await deployment.publish()
             relay.cut_after_bytes = [50, 50]
             outcome, request_id, text = await ask(deployment, 'once', 'ficus')
             assert outcome == 'served'
             assert text.count(':7') == 1
-            found = await check_truth(deployment, outcome, request_id)
-            assert len(found) == 1
+            runs = await check_outcome(deployment, outcome, request_id)
+            assert len(runs) == 1
 
     @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.LINK_CUT, Step.MID_STREAM)
     @pytest.mark.proves(
@@ -417,47 +436,48 @@
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.LINK_CUT, Step.MID_STREAM)
     @pytest.mark.parametrize('cuts', [[400], [700, 650], [1, 3000, 1000]])
     async def test_stream_is_resumed_not_run_again(self, deployment, cuts):
-        """A stream ends in the middle, or repeats a part of itself.
+        """Guards against a stream that is cut short or repeats a part.
 
-        The link between entry and sidecar breaks once, or several times
-        in a row, at any byte.
+        The connection between entry and sidecar breaks once, or several
+        times in a row, at any byte.
         """
         await deployment.add_engine('--token-s', '0.02')
-        async with relayed(deployment) as relay:
+        async with relay_to_sidecar(deployment) as relay:
             await deployment.add_entry()
-            add_customers(deployment)
+            add_customer_contracts(deployment)
             await deployment.publish()
             relay.cut_after_bytes = list(cuts)
             _, request_id, text = await ask(
                 deployment, 'once', 'ficus', stream=True, max_tokens=40
             )
             assert text.endswith(END)
-            assert numbers(text) == list(range(40))
+            assert token_numbers(text) == list(range(40))
             assert relay.connection_count > len(cuts)
-            found = await check_truth(deployment, 'served', request_id)
-            assert len(found) == 1
+            runs = await check_outcome(deployment, 'served', request_id)
+            assert len(runs) == 1
 
     @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.HALF_OPEN, Step.MID_STREAM)
     async def test_half_open_link_does_not_hang(self, deployment):
-        """A stream stands still although the engine has finished it.
+        """Guards against a stream that stalls although the engine finished.
 
-        The link takes bytes and passes none on; the control link works.
+        The connection accepts data but forwards none.  The control link
+        works.
         """
         await deployment.add_engine('--token-s', '0.02')
-        async with relayed(deployment) as relay:
+        async with relay_to_sidecar(deployment) as relay:
             await deployment.add_entry()
-            add_customers(deployment)
+            add_customer_contracts(deployment)
             await deployment.publish()
-            asking = asyncio.create_task(
+            pending = asyncio.create_task(
                 ask(deployment, 'once', 'ficus', stream=True, max_tokens=40)
             )
             await processes.until(lambda: any_run(deployment))
             relay.stall()
-            _, request_id, text = await asking
+            _, request_id, text = await pending
             assert text.endswith(END)
-            assert numbers(text) == list(range(40))
+            assert token_numbers(text) == list(range(40))
             assert (
-                len(await check_truth(deployment, 'served', request_id)) == 1
+                len(await check_outcome(deployment, 'served', request_id)) == 1
             )
 
 
@@ -467,13 +487,13 @@
         ('customer', 'adapter', 'is_cancelled'),
         [('again', 'fern', True), ('once', 'ficus', False)],
     )
-    async def test_frees_all(
+    async def test_repeatable_run_is_cancelled(
         self, deployment, customer, adapter, is_cancelled
     ):
-        """An engine stays busy with answers that nobody waits for.
+        """Guards against an engine kept busy by abandoned requests.
 
-        The caller goes away in mid-stream.  What may be repeated is
-        cancelled at the engine; what may not runs to its end.
+        The caller disconnects in mid-stream.  A repeatable request is
+        cancelled at the engine.  Any other runs to its end.
         """
         await start(deployment, '--token-s', '0.02')
         async with deployment.call(
@@ -487,16 +507,16 @@
             response.close()
         engine = deployment.engines[0]
 
-        async def idle():
-            return not await running(deployment, engine)
+        async def is_idle():
+            return not await running_count(deployment, engine)
 
         async def is_ended():
             (run,) = (await deployment.truth(engine)).runs
             return run.cancelled or run.finished
 
-        await processes.until(idle)
-        # The engine stops as its connection closes, and hears a moment
-        # later why.
+        await processes.until(is_idle)
+        # The engine stops when its connection closes.  The cancel request
+        # arrives a moment later.
         await processes.until(is_ended)
         (run,) = (await deployment.truth(engine)).runs
         assert run.cancelled is is_cancelled
@@ -529,22 +549,22 @@
         Promise.WHOLE_ANSWER, Fault.STREAM_CUT, Step.MID_STREAM
     )
     async def test_cut_stream_is_resumed_or_ends_in_an_error(self, deployment):
-        """A stream ends in silence, as if it were whole.
+        """Guards against a truncated stream that appears complete.
 
-        The engine breaks off in the middle and, the second time, does
-        not resume either.
+        The engine cuts the stream off, and the second time also refuses
+        to resume it.
         """
         await start(deployment)
         engine = deployment.engines[0]
         await deployment.set_faults(engine, cut_after_events=3)
         _, _, text = await ask(deployment, 'once', 'ficus', stream=True)
         assert text.endswith(END)
-        assert numbers(text) == list(range(8))
+        assert token_numbers(text) == list(range(8))
         await deployment.set_faults(
             engine, cut_after_events=3, refusing_resumes=True
         )
         _, _, text = await ask(deployment, 'once', 'ficus', stream=True)
-        assert numbers(text) == [0, 1, 2]
+        assert token_numbers(text) == [0, 1, 2]
         assert text.count('event: error') == 1
 
     @pytest.mark.proves(
@@ -553,36 +573,39 @@
     async def test_adapter_gone_from_the_engine_is_loaded_again(
         self, deployment
     ):
-        """Requests for one adapter fail for ever after a hiccup.
+        """Guards against permanent failure of requests for one adapter.
 
-        The engine lost an adapter that the sidecar believes it holds.
+        The engine has lost an adapter that the sidecar's records say it
+        holds.
         """
         await start(deployment)
         await ask(deployment, 'once', 'ficus')
         engine = deployment.engines[0]
-        async with deployment.session.get(engine.url + '/v1/report') as found:
-            fencing = (await found.json())['last_fencing']
+        async with deployment.session.get(
+            engine.url + '/v1/report'
+        ) as response:
+            fencing = (await response.json())['last_fencing']
         async with deployment.session.post(
             engine.url + '/v1/unload_lora_adapter',
             json={'lora_name': 'ficus@1', 'fencing': fencing},
         ) as response:
             assert response.status == 200
 
-        async def served():
+        async def is_served():
             outcome, _, _ = await ask(deployment, 'once', 'ficus')
             return outcome == 'served'
 
-        await processes.until(served)
+        await processes.until(is_served)
 
 
 class TestPlainService:
     @pytest.mark.proves(Promise.AT_MOST_ONCE, Fault.LINK_CUT, Step.SENT)
     @pytest.mark.parametrize('method', ['POST', 'PUT', 'DELETE'])
     async def test_dropped_call_is_not_sent_again(self, deployment, method):
-        """A balcony is flooded by a doubled command.
+        """Guards against a second run of a call to a plain service.
 
-        The service runs a call and its connection drops; the HTTP
-        library would send a PUT or DELETE again by itself.
+        The service runs the call and its connection drops.  The HTTP
+        library would retry a PUT or DELETE automatically.
         """
         await self._start(deployment)
         service = deployment.services[0]
@@ -599,9 +622,9 @@
     async def test_body_that_breaks_off_is_never_silently_short(
         self, deployment
     ):
-        """A stock list lacks its end, and nobody notices.
+        """Guards against a truncated body that appears complete.
 
-        The service breaks off: in a small body, then in a large one.
+        The service breaks off in a small body, then in a large one.
         """
         await self._start(deployment)
         service = deployment.services[0]
@@ -627,14 +650,15 @@
         Promise.AT_MOST_ONCE, Fault.LINK_CUT, Step.BEFORE_DELIVERY
     )
     async def test_answer_lost_on_the_way_is_delivered_once(self, deployment):
-        """A watering command seems lost, and is sent twice.
+        """Guards against a retry of a call that was answered.
 
-        The service has answered; the link to the entry breaks.
+        The connection to the entry breaks after the service has run the
+        call.
         """
         await deployment.add_service('--answer-s', '0.5')
-        async with relayed(deployment) as relay:
+        async with relay_to_sidecar(deployment) as relay:
             await self._finish_start(deployment)
-            asking = asyncio.create_task(self._water(deployment))
+            pending = asyncio.create_task(self._water(deployment))
             service = deployment.services[0]
 
             async def has_run():
@@ -642,7 +666,7 @@
 
             await processes.until(has_run)
             relay.reset()
-            assert await asking == (200, b'10 ml')
+            assert await pending == (200, b'10 ml')
             assert len(await deployment.service_truth(service)) == 1
 
     async def _water(self, deployment):
@@ -657,32 +681,32 @@
 
     async def _finish_start(self, deployment):
         await deployment.add_entry()
-        add_customers(deployment)
+        add_customer_contracts(deployment)
         await deployment.publish()
 
 
-class TestStrangerOnThePort:
+class TestOtherProgramOnThePort:
     @pytest.mark.proves(Promise.WHOLE_ANSWER, Fault.LIST_WRONG, Step.ANY)
     async def test_its_answer_is_not_passed_on(self, deployment):
-        """A caller gets the answer of a program that is none of ours.
+        """Guards against an answer from a foreign program.
 
-        The list lags, and another program has the sidecar's port.
+        The list is outdated, and another program uses the sidecar's port.
         """
         await start(deployment)
-        stranger = await deployment.run('standin', 'service')
+        other_program = await deployment.run('standin', 'service')
         sidecar = deployment.instances[0]
         deployment.instances[0] = msgspec.structs.replace(
-            sidecar, work_port=stranger.ports['work_port']
+            sidecar, work_port=other_program.ports['work_port']
         )
         await deployment.publish_instances()
 
-        async def misled():
+        async def is_refused():
             async with deployment.call(
                 deployment.entries[0], 'once', 'ficus'
             ) as response:
                 return response.status != 200
 
-        await processes.until(misled)
+        await processes.until(is_refused)
         outcome, _, text = await ask(deployment, 'once', 'ficus')
         assert outcome in ('not-run', 'unknown')
         assert 'choices' not in text
