--- a/lacewingpitch/burn.py
+++ b/lacewingpitch/burn.py
@@ -1,8 +1,12 @@
-"""Service-level burn: how fast a customer's error budget is spent.
+"""Burn rates: how fast a customer's error budget is spent.
 
-A burn rate of 1 spends the budget exactly over the period that the
-objective holds for.  An alert needs two windows at once, a long one so
-that it matters and a short one so that it ends soon after the fault.
+A burn rate of 1 spends the budget exactly over the period of the
+service-level objective.  An alert fires when the burn rate is high over
+two windows at once: the long one ignores brief errors, and the short
+one ends the alert soon after the fault.
+
+Requests are counted in time slots.  Each `Resolution` has slots of its
+own length; `Window` sums the recent slots of one resolution.
 """
 
 import collections
@@ -14,15 +18,16 @@
 from lacewingpitch import contract
 from lacewingpitch import errors
 
-# Within which share of streams the times of an objective hold; a stream
-# is slow when more than the rest of its own gaps between tokens are.
+# Share of streams that must meet the latencies of an objective.  A
+# stream is slow between tokens when more than the remaining share of its
+# gaps exceed the objective.
 LATENCY_RATIO = 0.95
-# Number of the first counter that belongs to a slot of a window.
-FIRST_NUMBER = 1024
+# Numbers from here on encode a slot, its resolution and a signal.
+FIRST_SLOT_COUNTER = 1024
 
-# Refusals that the contract itself asks for, or that the caller's own
-# request brings about, spend no budget.
-_CALLERS_OWN = frozenset(
+# Refusals that enforce the contract, or that the caller's own request
+# causes, spend no budget.
+_NO_BUDGET_KINDS = frozenset(
     {
         errors.ErrorKind.BAD_REQUEST,
         errors.ErrorKind.NOT_FOUND,
@@ -41,7 +46,10 @@
 
 
 class Signal(enum.IntEnum):
-    """What is counted in each slot; numbers are never reused."""
+    """Counts kept per slot.
+
+    The numbers are part of the encoded counters and never reused.
+    """
 
     ANSWERS = 0
     FAILED = 1
@@ -51,7 +59,7 @@
 
 
 class Subject(enum.StrEnum):
-    """What an objective promises, each with an error budget."""
+    """Indicators of an objective, each with its own error budget."""
 
     SERVED = 'served'
     FIRST_TOKEN = 'first-token'
@@ -59,25 +67,35 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Level:
-    """Slots of one length, and how far back they are kept."""
+class Resolution:
+    """Length of time slots, and how long they are retained."""
 
     slot_s: int
-    kept_s: int
+    retention_s: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """A stretch of time that ends now, summed from one level's slots."""
+    """A period that ends now.
+
+    Parameters
+    ----------
+    name
+        Label in reports.
+    length_s
+        Length of the period.
+    resolution
+        Index in `RESOLUTIONS` of the slots to sum.
+    """
 
     name: str
     length_s: int
-    level: int
+    resolution: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Alert:
-    """Two windows that must both burn faster than a threshold."""
+class AlertRule:
+    """Fires when both windows reach a threshold of the burn rate."""
 
     long: Window
     short: Window
@@ -85,10 +103,10 @@
     severity: str
 
 
-LEVELS = (
-    Level(slot_s=60, kept_s=3600),
-    Level(slot_s=1800, kept_s=6 * 3600),
-    Level(slot_s=6 * 3600, kept_s=3 * 86400),
+RESOLUTIONS = (
+    Resolution(slot_s=60, retention_s=3600),
+    Resolution(slot_s=1800, retention_s=6 * 3600),
+    Resolution(slot_s=6 * 3600, retention_s=3 * 86400),
 )
 _FIVE_MINUTES = Window('5 min', 300, 0)
 _HALF_HOUR = Window('30 min', 1800, 0)
@@ -96,13 +114,13 @@
 _SIX_HOURS = Window('6 h', 6 * 3600, 1)
 _THREE_DAYS = Window('3 d', 3 * 86400, 2)
 WINDOWS = (_FIVE_MINUTES, _HALF_HOUR, _HOUR, _SIX_HOURS, _THREE_DAYS)
-ALERTS = (
-    Alert(_HOUR, _FIVE_MINUTES, 14.4, 'page'),
-    Alert(_SIX_HOURS, _HALF_HOUR, 6.0, 'page'),
-    Alert(_THREE_DAYS, _SIX_HOURS, 1.0, 'ticket'),
+ALERT_RULES = (
+    AlertRule(_HOUR, _FIVE_MINUTES, 14.4, 'page'),
+    AlertRule(_SIX_HOURS, _HALF_HOUR, 6.0, 'page'),
+    AlertRule(_THREE_DAYS, _SIX_HOURS, 1.0, 'ticket'),
 )
 
-_PARTS: Mapping[Subject, tuple[Signal, Signal]] = {
+_SIGNALS_BY_SUBJECT: Mapping[Subject, tuple[Signal, Signal]] = {
     Subject.SERVED: (Signal.ANSWERS, Signal.FAILED),
     Subject.FIRST_TOKEN: (Signal.STREAMS, Signal.SLOW_FIRST_TOKENS),
     Subject.BETWEEN_TOKENS: (Signal.STREAMS, Signal.SLOW_STREAMS),
@@ -111,12 +129,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Burn:
-    """The burn of one subject over one window.
+    """Burn rate of one subject over one window.
 
     Parameters
     ----------
     burn_rate
-        Share that failed over the share that may fail; ``None`` where
+        Failed share divided by the share that may fail; ``None`` if
         nothing was counted.
     """
 
@@ -128,8 +146,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FiredAlert:
-    """An alert whose two windows both burn too fast."""
+class FiringAlert:
+    """An alert rule that fires for one subject."""
 
     subject: Subject
     severity: str
@@ -139,24 +157,36 @@
 
 
 def spends_budget(kind: errors.ErrorKind) -> bool:
-    """Return whether an error of this kind counts against the service."""
-    return kind not in _CALLERS_OWN
+    """Return whether an error kind counts against the error budget."""
+    return kind not in _NO_BUDGET_KINDS
+
 
+def slot_increments(
+    at_s: float, signals: Mapping[Signal, int]
+) -> dict[int, int]:
+    """Return the slot counters to increment for signals at a time.
 
-def increments(at_s: float, signals: Mapping[Signal, int]) -> dict[int, int]:
-    """Return what to add to a row's counters for signals at a time."""
+    Parameters
+    ----------
+    at_s
+        Wall clock time of the signals.
+    signals
+        Counts to add by signal.
+    """
     return {
-        _number(level, int(at_s // LEVELS[level].slot_s), signal): count
-        for level in range(len(LEVELS))
+        _encode_number(
+            resolution, int(at_s // RESOLUTIONS[resolution].slot_s), signal
+        ): count
+        for resolution in range(len(RESOLUTIONS))
         for signal, count in signals.items()
         if count
     }
 
 
-def measure(
+def measure_burns(
     row: Mapping[int, int], objective: contract.Objective, now_s: float
 ) -> list[Burn]:
-    """Return the burn of each subject over each window."""
+    """Return the burn rate of each subject over each window."""
     counts = count_signals(row, now_s)
     return [
         _burn(counts, subject, window, budget)
@@ -165,67 +195,70 @@
     ]
 
 
-def fired(burns: list[Burn]) -> list[FiredAlert]:
-    """Return the alerts that fire at these burns."""
+def firing_alerts(burns: list[Burn]) -> list[FiringAlert]:
+    """Return the alerts that fire at these burn rates."""
     rates = {(b.subject, b.window): b.burn_rate or 0.0 for b in burns}
     return [
-        FiredAlert(
+        FiringAlert(
             subject,
-            alert.severity,
-            alert.long.name,
-            alert.short.name,
-            alert.threshold,
+            rule.severity,
+            rule.long.name,
+            rule.short.name,
+            rule.threshold,
         )
         for subject in Subject
-        for alert in ALERTS
-        if rates[subject, alert.long.name] >= alert.threshold
-        and rates[subject, alert.short.name] >= alert.threshold
+        for rule in ALERT_RULES
+        if rates[subject, rule.long.name] >= rule.threshold
+        and rates[subject, rule.short.name] >= rule.threshold
     ]
 
 
-def expired(row: Mapping[int, int], now_s: float) -> list[int]:
-    """Return the counters of slots that no window reaches any more.
+def expired_counters(row: Mapping[int, int], now_s: float) -> list[int]:
+    """Return the counters of slots that are older than every window.
 
-    They are the bound of a row: it keeps at most as many slots of a
-    level as its longest window has, and two at its ends.
+    Removing them bounds the size of a row: per resolution, it keeps the
+    slots of the retention period and at most two partial ones at its
+    ends.
     """
     return [
         number
         for number in row
-        if number >= FIRST_NUMBER and _is_expired(number, now_s)
+        if number >= FIRST_SLOT_COUNTER and _is_expired(number, now_s)
     ]
 
 
 def count_signals(
     row: Mapping[int, int], now_s: float
 ) -> collections.Counter[tuple[str, Signal]]:
-    """Return the count of each signal over each window, by its name.
+    """Return the counts by window name and signal.
 
-    The oldest slot that a window touches is counted whole, so the
-    window is up to one slot longer than its name says.
+    The oldest slot that overlaps a window counts completely, so a window
+    is up to one slot longer than its nominal length.
     """
     counts: collections.Counter[tuple[str, Signal]] = collections.Counter()
     for number, count in row.items():
-        if number < FIRST_NUMBER:
+        if number < FIRST_SLOT_COUNTER:
             continue
-        level, slot, signal = _parts(number)
+        resolution, slot, signal = _decode_number(number)
         for window in WINDOWS:
-            if window.level == level and _touches(window, slot, now_s):
+            if window.resolution == resolution and _overlaps(
+                window, slot, now_s
+            ):
                 counts[window.name, signal] += count
     return counts
 
 
 def is_copied(number: int) -> bool:
-    """Return whether a counter is worth copying to other instances.
+    """Return whether a counter is replicated to other instances.
 
-    Slots of a minute change with every answer and are out of date within
-    the hour; they would be a third of all bytes copied.
+    The one-minute slots are not: they change with every answer and
+    expire within the hour, and would be a third of all bytes copied.
     """
-    return number < FIRST_NUMBER or _parts(number)[0] > 0
+    return number < FIRST_SLOT_COUNTER or _decode_number(number)[0] > 0
 
 
-def _touches(window: Window, slot: int, now_s: float) -> bool:
-    slot_s = LEVELS[window.level].slot_s
+def _overlaps(window: Window, slot: int, now_s: float) -> bool:
+    slot_s = RESOLUTIONS[window.resolution].slot_s
     first = math.floor((now_s - window.length_s) / slot_s)
     return first <= slot <= math.floor(now_s / slot_s)
 
@@ -236,7 +269,7 @@
     window: Window,
     budget: float,
 ) -> Burn:
-    total_signal, failed_signal = _PARTS[subject]
+    total_signal, failed_signal = _SIGNALS_BY_SUBJECT[subject]
     total = counts[window.name, total_signal]
     failed = counts[window.name, failed_signal]
     rate = failed / total / budget if total else None
@@ -251,17 +284,21 @@
     }
 
 
-def _number(level: int, slot: int, signal: Signal) -> int:
-    return FIRST_NUMBER + (slot * len(LEVELS) + level) * len(Signal) + signal
+def _encode_number(resolution: int, slot: int, signal: Signal) -> int:
+    return (
+        FIRST_SLOT_COUNTER
+        + (slot * len(RESOLUTIONS) + resolution) * len(Signal)
+        + signal
+    )
 
 
-def _parts(number: int) -> tuple[int, int, Signal]:
-    place, signal = divmod(number - FIRST_NUMBER, len(Signal))
-    slot, level = divmod(place, len(LEVELS))
-    return level, slot, Signal(signal)
+def _decode_number(number: int) -> tuple[int, int, Signal]:
+    slot_index, signal = divmod(number - FIRST_SLOT_COUNTER, len(Signal))
+    slot, resolution = divmod(slot_index, len(RESOLUTIONS))
+    return resolution, slot, Signal(signal)
 
 
 def _is_expired(number: int, now_s: float) -> bool:
-    level, slot, _ = _parts(number)
-    found = LEVELS[level]
-    return (slot + 1) * found.slot_s < now_s - found.kept_s
+    resolution, slot, _ = _decode_number(number)
+    slots = RESOLUTIONS[resolution]
+    return (slot + 1) * slots.slot_s < now_s - slots.retention_s
--- a/lacewingpitch/report_content.py
+++ b/lacewingpitch/report_content.py
@@ -1,11 +1,11 @@
-"""What a report says of a customer and of an account, from its rows."""
+"""Contents of a report: summaries of customers and of accounts read."""
 
 import msgspec
 
 from lacewingpitch import account_counters
-from lacewingpitch import account_readings
 from lacewingpitch import account_rows
 from lacewingpitch import burn
+from lacewingpitch import collected_accounts
 from lacewingpitch import contract as contract_module
 from lacewingpitch import errors
 
@@ -13,8 +13,23 @@
 _COPY = 'a copy'
 
 
-class Times(msgspec.Struct, frozen=True):
-    """A histogram of times, and the usual points of it."""
+class LatencySummary(msgspec.Struct, frozen=True):
+    """Histogram of latencies, with its quantiles.
+
+    Parameters
+    ----------
+    count
+        Number of measurements.
+    p50_s
+        Median in seconds; ``None`` without measurements.
+    p95_s
+        95th percentile, likewise.
+    p99_s
+        99th percentile, likewise.
+    count_by_limit_s
+        Counts per bucket, not cumulative, by the bucket's upper bound
+        in seconds.
+    """
 
     count: int
     p50_s: float | None
@@ -23,8 +38,11 @@
     count_by_limit_s: dict[str, int]
 
 
-class CustomerService(msgspec.Struct, frozen=True, kw_only=True):
-    """What one customer got, over all the instances that were read."""
+class CustomerSummary(msgspec.Struct, frozen=True, kw_only=True):
+    """Summary of one customer's requests over all accounts read.
+
+    ``refused``, ``unknown`` and ``partial`` are counts by error kind.
+    """
 
     customer: str
     received_count: int
@@ -38,11 +56,11 @@
     stalled_count: int
     stall_s: float
     stall_not_measured_count: int
-    first_token: Times
-    between_tokens: Times
-    load_stall: Times
+    first_token: LatencySummary
+    between_tokens: LatencySummary
+    load_stall: LatencySummary
     burns: tuple[burn.Burn, ...]
-    alerts: tuple[burn.FiredAlert, ...]
+    alerts: tuple[burn.FiringAlert, ...]
 
 
 class Source(msgspec.Struct, frozen=True, kw_only=True):
@@ -51,12 +69,12 @@
     Parameters
     ----------
     read_from
-        The instance itself, or a copy at another.
+        Whether the instance itself or a copy at another was read.
     complete_until_s
-        Nothing counted before is missing, by that instance's clock.
+        Everything counted before is included, by that instance's clock.
     unended_count
-        Requests that had come in and not ended; in progress if the
-        instance lives, cut off if it ended.
+        Requests received but not ended: in progress if the instance is
+        running, interrupted if it ended.
     """
 
     instance: str
@@ -68,23 +86,27 @@
     unended_count: int
 
 
-def customer_service(
+def summarize_customer(
     customer: str,
     row: account_rows.Row,
     contract: contract_module.Contract | None,
     now_s: float,
-) -> CustomerService:
-    """Return what a row says, by the objective of the contract."""
+) -> CustomerSummary:
+    """Summarize a customer's row.
+
+    Burn rates are measured by the objective of `contract`, or by the
+    default objective without one.
+    """
     counter = account_counters.Counter
     histogram = account_counters.Histogram
     objective = contract.objective if contract else contract_module.Objective()
-    burns = burn.measure(row, objective, now_s)
-    return CustomerService(
+    burns = burn.measure_burns(row, objective, now_s)
+    return CustomerSummary(
         customer=customer,
         received_count=row.get(counter.RECEIVED, 0),
         served_count=row.get(counter.SERVED, 0),
         caller_gone_count=row.get(counter.CALLER_GONE, 0),
-        unended_count=_unended(row),
+        unended_count=_unended_count(row),
         refused=account_counters.ended_by_kind(row, errors.Outcome.NOT_RUN),
         unknown=account_counters.ended_by_kind(row, errors.Outcome.UNKNOWN),
         partial=account_counters.ended_by_kind(row, errors.Outcome.PARTIAL),
@@ -92,17 +114,19 @@
         stalled_count=row.get(counter.STALLED, 0),
         stall_s=row.get(counter.STALL_MS, 0) / 1000,
         stall_not_measured_count=row.get(counter.STALL_NOT_MEASURED, 0),
-        first_token=_times(row, histogram.FIRST_TOKEN),
-        between_tokens=_times(row, histogram.BETWEEN_TOKENS),
-        load_stall=_times(row, histogram.LOAD_STALL),
+        first_token=_summarize_latency(row, histogram.FIRST_TOKEN),
+        between_tokens=_summarize_latency(row, histogram.BETWEEN_TOKENS),
+        load_stall=_summarize_latency(row, histogram.LOAD_STALL),
         burns=tuple(burns),
-        alerts=tuple(burn.fired(burns)),
+        alerts=tuple(burn.firing_alerts(burns)),
     )
 
 
-def _times(row: account_rows.Row, of: account_counters.Histogram) -> Times:
+def _summarize_latency(
+    row: account_rows.Row, of: account_counters.Histogram
+) -> LatencySummary:
     counts = account_counters.histogram(row, of)
-    return Times(
+    return LatencySummary(
         count=sum(counts.values()),
         p50_s=account_counters.quantile_s(counts, 0.5),
         p95_s=account_counters.quantile_s(counts, 0.95),
@@ -114,20 +138,22 @@
     )
 
 
-def source_of(reading: account_readings.Reading) -> Source:
-    """Return what the report says of one account that was read."""
-    account_id = reading.account_id
+def describe_source(snapshot: collected_accounts.AccountSnapshot) -> Source:
+    """Describe one account that was read."""
+    account_id = snapshot.account_id
     return Source(
         instance=account_id.instance,
         incarnation=account_id.incarnation,
         availability_zone=account_id.availability_zone,
         started_at_s=account_id.started_at_s,
-        read_from=_DIRECT if reading.is_direct else _COPY,
-        complete_until_s=reading.complete_until_s,
-        unended_count=sum(_unended(row) for row in reading.rows.values()),
+        read_from=_DIRECT if snapshot.is_direct else _COPY,
+        complete_until_s=snapshot.complete_until_s,
+        unended_count=sum(
+            _unended_count(row) for row in snapshot.rows.values()
+        ),
     )
 
 
-def _unended(row: account_rows.Row) -> int:
+def _unended_count(row: account_rows.Row) -> int:
     received = row.get(account_counters.Counter.RECEIVED, 0)
     return received - account_counters.ended_count(row)
--- a/tests/test_not_run_processes.py
+++ b/tests/test_not_run_processes.py
@@ -373,7 +373,7 @@
         successor = await deployment.spawn_successor(0)
 
         async def is_waiting():
-            return successor.has_logged('port is held')
+            return successor.has_logged('port in use')
 
         await processes.until(is_waiting)
         await old.kill()
