--- a/lacewingpitch/voter.py
+++ b/lacewingpitch/voter.py
@@ -369,8 +369,8 @@
         created_s = idempotency.created_at_s(request.key)
         self._expire_old_keys()
         if created_s > self._clock.wall_s() + self._skew_s:
-            # After a restart, this voter could no longer tell that such a
-            # key is older than the restart, and would vote on it again.
+            # If this voter restarted and lost the vote, it would grant the
+            # key again, because the key's time is after the restart.
             return VoteReply(verdict=Verdict.FROM_FUTURE)
         if created_s < self._oldest_key_s:
             return VoteReply(verdict=Verdict.TOO_OLD)
