--- a/lacewingpitch/account.py
+++ b/lacewingpitch/account.py
@@ -147,7 +147,7 @@
     """
 
     __slots__ = (
-        '_gap_buckets',
+        '_between_token_counts',
         '_clock',
         '_first_token_s',
         '_gap_count',
@@ -181,7 +181,7 @@
         self.token_count = 0
         self._gap_count = 0
         self._slow_gap_count = 0
-        self._gap_buckets: account_rows.Row = {}
+        self._between_token_counts: account_rows.Row = {}
         self._is_delivered = False
         self._is_disconnected = False
 
@@ -271,7 +271,7 @@
                 account_counters.Histogram.FIRST_TOKEN
                 + account_counters.bucket_of(self._first_token_s)
             ] = 1
-        row.update(self._gap_buckets)
+        row.update(self._between_token_counts)
         row.update(
             burn.slot_increments(self._clock.wall_s(), self._burn_signals())
         )
@@ -295,7 +295,9 @@
 
     def _record_gaps(self, gap_s: float, count: int) -> None:
         number = _BETWEEN_TOKENS + account_counters.bucket_of(gap_s)
-        self._gap_buckets[number] = self._gap_buckets.get(number, 0) + count
+        self._between_token_counts[number] = (
+            self._between_token_counts.get(number, 0) + count
+        )
         self._gap_count += count
         if gap_s > self._objective.between_tokens_s:
             self._slow_gap_count += count
--- a/lacewingpitch/account_copy.py
+++ b/lacewingpitch/account_copy.py
@@ -201,8 +201,8 @@
         held.merge(message)
         self._held.move_to_end(account_id)
         while self._is_over_capacity():
-            dropped, _ = self._held.popitem(last=False)
-            log.warning('account copy evicted', instance=dropped.instance)
+            evicted, _ = self._held.popitem(last=False)
+            log.warning('account copy evicted', instance=evicted.instance)
         return AccountCopied(copy_id=held.copy_id)
 
     def iterate_round_robin(self) -> Iterator[HeldAccount]:
--- a/lacewingpitch/collected_accounts.py
+++ b/lacewingpitch/collected_accounts.py
@@ -97,8 +97,8 @@
     snapshots: Iterable[AccountSnapshot],
 ) -> dict[str, account_rows.Row]:
     """Return the sum of all accounts' rows by customer."""
-    found: dict[str, account_rows.Row] = {}
+    totals: dict[str, account_rows.Row] = {}
     for snapshot in snapshots:
         for name, row in snapshot.rows.items():
-            account_rows.add(found.setdefault(name, {}), row)
-    return found
+            account_rows.add(totals.setdefault(name, {}), row)
+    return totals
--- a/lacewingpitch/report.py
+++ b/lacewingpitch/report.py
@@ -204,10 +204,10 @@
     ) -> Report:
         now_s = self._node.clock.wall_s()
         snapshots = tuple(collected.snapshots.values())
-        total = collected_accounts.sum_rows(snapshots)
+        rows_by_customer = collected_accounts.sum_rows(snapshots)
         if customer is not None:
-            total = {customer: total.get(customer, {})}
-        shown = _select_customers(total, limit)
+            rows_by_customer = {customer: rows_by_customer.get(customer, {})}
+        shown = _select_customers(rows_by_customer, limit)
         return Report(
             generated_at_s=now_s,
             generated_by=self._node.settings.instance,
@@ -215,13 +215,13 @@
             services=tuple(
                 report_content.summarize_customer(
                     name,
-                    total[name],
+                    rows_by_customer[name],
                     self._node.contract_registry.contract(name),
                     now_s,
                 )
                 for name in shown
             ),
-            hidden_count=len(total) - len(shown),
+            hidden_count=len(rows_by_customer) - len(shown),
             sources=tuple(
                 report_content.describe_source(snapshot)
                 for snapshot in snapshots
@@ -233,13 +233,15 @@
 
 
 def _select_customers(
-    total: Mapping[str, account_rows.Row], limit: int | None
+    rows_by_customer: Mapping[str, account_rows.Row], limit: int | None
 ) -> list[str]:
     if limit is None:
-        return sorted(total)
+        return sorted(rows_by_customer)
     counter = account_counters.Counter.RECEIVED
     return heapq.nsmallest(
-        limit, total, key=lambda name: (-total[name].get(counter, 0), name)
+        limit,
+        rows_by_customer,
+        key=lambda name: (-rows_by_customer[name].get(counter, 0), name),
     )
 
 
