--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -48,7 +48,9 @@
         ) as response:
             assert response.status == 403
             assert response.headers[work.OUTCOME_HEADER] == 'not-run'
-        records = [await deployment.truth(e) for e in deployment.engines]
+        records = [
+            await deployment.engine_record(e) for e in deployment.engines
+        ]
         assert not any(record.runs for record in records)
 
 
@@ -84,4 +86,4 @@
             sidecar.terminate()
         for text in await asyncio.gather(*streams):
             assert text.endswith('data: [DONE]\n\n')
-        assert await deployment.entries[0].exited() == 0
+        assert await deployment.entries[0].wait_for_exit() == 0
--- a/tests/test_upgrade_processes.py
+++ b/tests/test_upgrade_processes.py
@@ -70,7 +70,7 @@
         async def is_idle():
             return not self._in_progress[entry]
 
-        await processes.until(is_idle)
+        await processes.wait_until(is_idle)
 
     def stop(self):
         self._stopping.set()
@@ -80,9 +80,9 @@
     old = deployment.sidecars[number]
     old.terminate()
     successor = await deployment.spawn_successor(number)
-    assert await old.exited() == 0
-    await successor.listening()
-    await deployment.ready(successor)
+    assert await old.wait_for_exit() == 0
+    await successor.wait_until_listening()
+    await deployment.wait_until_ready(successor)
     # The start time distinguishes the two: without it, entries to which the
     # old one announced its leaving would not use the new one for a minute.
     deployment.instances = [
@@ -95,7 +95,7 @@
 
 async def runs(deployment):
     """Return the requests that each engine ran, in order."""
-    records = [await deployment.truth(e) for e in deployment.engines]
+    records = [await deployment.engine_record(e) for e in deployment.engines]
     return [[run.run_id[:36] for run in record.runs] for record in records]
 
 
@@ -115,11 +115,11 @@
         key = processes.new_key()
         return (await send(entries[0]))[0] == 200
 
-    await processes.until(is_accepted)
+    await processes.wait_until(is_accepted)
     answers = [await send(entry) for entry in entries]
     assert [status for status, _ in answers] == [200] * len(entries)
     assert len(set(answers)) == 1
-    records = [await deployment.truth(e) for e in deployment.engines]
+    records = [await deployment.engine_record(e) for e in deployment.engines]
     matching_runs = [
         run
         for record in records
@@ -138,7 +138,7 @@
     )
     await deployment.publish_contracts()
     for process in all_processes:
-        await deployment.until_known(process, CUSTOMER, revision)
+        await deployment.wait_for_revision(process, CUSTOMER, revision)
 
 
 async def check_account(deployment, entries, callers):
@@ -152,16 +152,16 @@
             (service,) = (s for s in found.services if s.customer == CUSTOMER)
             return not found.gaps and service.served_count == received
 
-        await processes.until(is_complete)
+        await processes.wait_until(is_complete)
 
 
 class TestRollingUpgrade:
     @pytest.mark.parametrize(
         'programs',
         [
-            (processes.PREVIOUS, processes.PROGRAM),
-            (processes.PROGRAM, processes.NEXT),
-            (processes.NEXT, processes.PROGRAM),
+            (processes.PREVIOUS_PROGRAM, processes.PROGRAM),
+            (processes.PROGRAM, processes.NEXT_PROGRAM),
+            (processes.NEXT_PROGRAM, processes.PROGRAM),
         ],
         ids=['from-the-previous', 'to-the-next', 'back'],
     )
@@ -184,7 +184,7 @@
                 await replace_sidecar(deployment, number)
             new = await deployment.add_entry(**CLOCKS, **OPERATED)
             await deployment.publish_instances()
-            await deployment.ready(new)
+            await deployment.wait_until_ready(new)
             callers.entries.append(new)
             leaving, old = deployment.entries[:2]
             all_processes = (*deployment.sidecars, leaving, old, new)
@@ -203,10 +203,10 @@
             # With three entries in rotation, each of them requests every
             # adapter.  With two, each would request only every second
             # adapter, and never use an engine that holds the others.
-            await processes.until(has_each_entry_used_each_engine)
+            await processes.wait_until(has_each_entry_used_each_engine)
             await callers.stop_using(leaving)
             leaving.terminate()
-            assert await leaving.exited() == 0
+            assert await leaving.wait_for_exit() == 0
             deployment.instances = [
                 i for i in deployment.instances if i.name != 'entry-0'
             ]
@@ -218,7 +218,7 @@
                 now = sum(len(ids) for ids in callers.ids.values())
                 return now > served + 2 * len(ADAPTERS)
 
-            await processes.until(are_requests_served)
+            await processes.wait_until(are_requests_served)
             callers.stop()
             await asyncio.gather(*load_tasks)
             counts = collections.Counter(sum(await runs(deployment), []))
