--- a/lacewingpitch/decoding.py
+++ b/lacewingpitch/decoding.py
@@ -57,11 +57,11 @@
 
 
 def _explain(message: str, data: bytes | str) -> str:
-    found = _PATH.search(message)
-    if found is None:
+    match = _PATH.search(message)
+    if match is None:
         return message
-    path = found['path']
-    reason = message[: found.start()]
+    path = match['path']
+    reason = message[: match.start()]
     return f'field {path}: {reason}, got {_value_at(path, data)}'
 
 
--- a/lacewingpitch/demo_traffic.py
+++ b/lacewingpitch/demo_traffic.py
@@ -184,5 +184,5 @@
 
 
 def _detail(body: bytes) -> str:
-    found = work.decode_error(body)
-    return found.error.detail if found else 'the answer is incomplete'
+    decoded = work.decode_error(body)
+    return decoded.error.detail if decoded else 'the answer is incomplete'
--- a/lacewingpitch/standin_platform.py
+++ b/lacewingpitch/standin_platform.py
@@ -161,8 +161,8 @@
         after, timeout_s = _watch_parameters(request)
 
         def is_newer() -> bool:
-            found = self._visible_values.get(name)
-            return found is not None and found.revision > after
+            value = self._visible_values.get(name)
+            return value is not None and value.revision > after
 
         self._config_waiting += 1
         try:
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -30,8 +30,8 @@
 }
 
 
-def fields_of(checked):
-    return [problem.field for problem in checked.problems]
+def fields_of(result):
+    return [problem.field for problem in result.problems]
 
 
 def write(folder, name, value):
@@ -43,9 +43,9 @@
 class TestTypes:
     @pytest.mark.parametrize('kind', SAMPLES)
     def test_accepts_the_sample(self, kind):
-        checked = checking.check_value(SAMPLES[kind](), kind, 'x')
-        assert checked.problems == ()
-        assert checked.content is not None
+        result = checking.check_value(SAMPLES[kind](), kind, 'x')
+        assert result.problems == ()
+        assert result.content is not None
 
     def test_names_every_error_at_once(self):
         contract = samples.contract(
@@ -55,8 +55,8 @@
             adapters=[{'name': 'a b', 'version': '1'}],
         )
         del contract['key_digests']
-        checked = checking.check_value(contract, Kind.CONTRACT, 'x')
-        assert sorted(fields_of(checked)) == [
+        result = checking.check_value(contract, Kind.CONTRACT, 'x')
+        assert sorted(fields_of(result)) == [
             '$.adapters[0].base_model',
             '$.adapters[0].name',
             '$.key_digests',
@@ -75,36 +75,36 @@
         assert str(problem).endswith('got "soon"')
 
     def test_checks_the_tagged_backend_server(self):
-        found = samples.sidecar_settings()
-        found['backend_server']['adapter_slots'] = 0
-        checked = checking.check_value(found, Kind.SIDECAR, 'x')
-        assert fields_of(checked) == ['$.backend_server.adapter_slots']
+        content = samples.sidecar_settings()
+        content['backend_server']['adapter_slots'] = 0
+        result = checking.check_value(content, Kind.SIDECAR, 'x')
+        assert fields_of(result) == ['$.backend_server.adapter_slots']
 
     @pytest.mark.parametrize('ip', ['localhost', 'abc', '1.2.3', '1.2.3.4\n'])
     def test_rejects_invalid_ip_addresses(self, ip):
         address = {'ip': ip, 'port': 1}
-        found = samples.entry_settings(config_service=address)
-        assert checking.check_value(found, Kind.ENTRY, 'x').problems
+        content = samples.entry_settings(config_service=address)
+        assert checking.check_value(content, Kind.ENTRY, 'x').problems
 
     def test_never_shows_a_secret(self):
-        found = samples.entry_settings(secret='hush hush')
-        (problem,) = checking.check_value(found, Kind.ENTRY, 'x').problems
+        content = samples.entry_settings(secret='hush hush')
+        (problem,) = checking.check_value(content, Kind.ENTRY, 'x').problems
         assert 'hush' not in str(problem)
 
     @given(strategies.sampled_from(list(Kind)), JSON)
     def test_checks_any_json(self, kind, value):
-        checked = checking.check_value(value, kind, 'x')
-        assert (checked.content is None) == bool(checked.problems)
+        result = checking.check_value(value, kind, 'x')
+        assert (result.content is None) == bool(result.problems)
 
     @given(strategies.sampled_from(list(SAMPLES)), strategies.data(), JSON)
     def test_agrees_with_the_decoder(self, kind, data, value):
         """A value passes the type checks if and only if daemons decode it."""
-        found = SAMPLES[kind]()
-        field = data.draw(strategies.sampled_from(sorted(found)))
-        found[field] = value
-        checked = checking.check_value(found, kind, 'x')
-        is_decodable = checking.is_decodable(found, kind)
-        assert (checked.content is not None) == is_decodable
+        content = SAMPLES[kind]()
+        field = data.draw(strategies.sampled_from(sorted(content)))
+        content[field] = value
+        result = checking.check_value(content, kind, 'x')
+        is_decodable = checking.is_decodable(content, kind)
+        assert (result.content is not None) == is_decodable
 
 
 class TestMeaning:
@@ -127,18 +127,18 @@
     )
     def test_refuses_in_a_contract(self, fields, field):
         contract = samples.contract(**fields)
-        checked = checking.check_value(contract, Kind.CONTRACT, 'x')
-        assert fields_of(checked) == [field]
+        result = checking.check_value(contract, Kind.CONTRACT, 'x')
+        assert fields_of(result) == [field]
 
     def test_needs_no_digest_when_revoked(self):
         contract = samples.contract(key_digests=[], revoked=True)
-        checked = checking.check_value(contract, Kind.CONTRACT, 'x')
-        assert checked.problems == ()
+        result = checking.check_value(contract, Kind.CONTRACT, 'x')
+        assert result.problems == ()
 
     def test_rejects_equal_work_and_control_ports(self):
-        found = samples.entry_settings(control_port=8080)
-        checked = checking.check_value(found, Kind.ENTRY, 'x')
-        assert fields_of(checked) == ['$.control_port']
+        content = samples.entry_settings(control_port=8080)
+        result = checking.check_value(content, Kind.ENTRY, 'x')
+        assert fields_of(result) == ['$.control_port']
 
 
 class TestFiles:
@@ -150,8 +150,12 @@
             'c.json',
             samples.contract('c', key_digests=[samples.OTHER_DIGEST]),
         )
-        found = checking.check_paths([tmp_path])
-        assert [bool(item.problems) for item in found] == [False, True, False]
+        results = checking.check_paths([tmp_path])
+        assert [bool(item.problems) for item in results] == [
+            False,
+            True,
+            False,
+        ]
 
     def test_rejects_a_customer_and_digest_in_two_files(self, tmp_path):
         write(tmp_path, 'a.json', samples.contract())
@@ -180,8 +184,8 @@
         without its enclosing object would.
         """
         path = write(tmp_path, 'a.json', [])
-        (checked,) = checking.check_paths([path], kind)
-        assert fields_of(checked) == [type_checks.ROOT]
+        (result,) = checking.check_paths([path], kind)
+        assert fields_of(result) == [type_checks.ROOT]
 
     @pytest.mark.parametrize(
         'content',
@@ -199,5 +203,5 @@
     def test_reports_invalid_json_and_unknown_kinds(self, tmp_path, content):
         path = tmp_path / 'a.json'
         path.write_bytes(content)
-        (checked,) = checking.check_paths([path])
-        assert fields_of(checked) == [type_checks.ROOT]
+        (result,) = checking.check_paths([path])
+        assert fields_of(result) == [type_checks.ROOT]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -84,8 +84,8 @@
         """
         with socket.create_server(('127.0.0.1', 0)) as listener:
             port = listener.getsockname()[1]
-            found = sample(work_port=0, control_port=port)
-            result = run(command, write(tmp_path / 'a.json', found))
+            content = sample(work_port=0, control_port=port)
+            result = run(command, write(tmp_path / 'a.json', content))
         assert result.exit_code == 1
         assert f'control port {port} of 127.0.0.1: ' in result.output
 
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -67,6 +67,6 @@
         finally:
             structlog.reset_defaults()
         (line,) = read_all(reader).splitlines()
-        found = json.loads(line)
-        assert found['event'] == 'hello'
-        assert (found['instance'], found['size']) == ('edge-1', 3)
+        entry = json.loads(line)
+        assert entry['event'] == 'hello'
+        assert (entry['instance'], entry['size']) == ('edge-1', 3)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,12 +17,12 @@
 
 class TestLoad:
     def test_builds_frozen_data(self, tmp_path):
-        found = load(
+        loaded = load(
             tmp_path, samples.sidecar_settings(), settings.SidecarSettings
         )
-        assert found.backend_server.base_model == 'base'
+        assert loaded.backend_server.base_model == 'base'
         with pytest.raises(AttributeError):
-            found.instance = 'other'
+            loaded.instance = 'other'
 
     @pytest.mark.parametrize(
         ('field', 'value'),
@@ -42,9 +42,9 @@
         ],
     )
     def test_names_the_field(self, tmp_path, field, value):
-        found = samples.entry_settings(**{field: value})
+        content = samples.entry_settings(**{field: value})
         with pytest.raises(errors.SettingsError, match=field):
-            load(tmp_path, found)
+            load(tmp_path, content)
 
     def test_names_a_file_that_cannot_be_read(self, tmp_path):
         with pytest.raises(errors.SettingsError, match='no-such'):
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -15,15 +15,15 @@
 
 @pytest.fixture
 async def deployment(tmp_path):
-    async with processes.Deployment(tmp_path) as found:
+    async with processes.Deployment(tmp_path) as scene:
         for _ in range(4):
-            await found.add_engine()
+            await scene.add_engine()
         for _ in range(2):
-            await found.add_entry()
-        found.add_customer('haneul', 'ficus', 'fern')
-        found.add_customer('caravan', 'trade-in')
-        await found.publish()
-        yield found
+            await scene.add_entry()
+        scene.add_customer('haneul', 'ficus', 'fern')
+        scene.add_customer('caravan', 'trade-in')
+        await scene.publish()
+        yield scene
 
 
 class TestWholePath:
--- a/tests/test_upgrade_processes.py
+++ b/tests/test_upgrade_processes.py
@@ -148,9 +148,9 @@
 
         async def is_complete(entry=entry):
             data = await report_module.fetch(entry.url, None, TOKEN)
-            found = msgspec.json.decode(data, type=report_module.Report)
-            (service,) = (s for s in found.services if s.customer == CUSTOMER)
-            return not found.gaps and service.served_count == received
+            report = msgspec.json.decode(data, type=report_module.Report)
+            (service,) = (s for s in report.services if s.customer == CUSTOMER)
+            return not report.gaps and service.served_count == received
 
         await processes.wait_until(is_complete)
 
