--- a/lacewingpitch/meaning_problems.py
+++ b/lacewingpitch/semantic_checks.py
@@ -1,11 +1,11 @@
-"""What decodes in settings and contracts, but cannot be meant."""
+"""Checks of settings and contracts beyond the types of their fields."""
 
 import collections
 from collections.abc import Iterable, Iterator
 
 from lacewingpitch import contract as contract_module
 from lacewingpitch import settings
-from lacewingpitch import type_problems
+from lacewingpitch import type_checks
 
 HTTP_METHODS = frozenset(
     ('GET', 'HEAD', 'OPTIONS', 'POST', 'PUT', 'PATCH', 'DELETE', 'TRACE')
@@ -13,10 +13,10 @@
 _METHODS_TEXT = ', '.join(sorted(HTTP_METHODS))
 
 
-def of_contract(
+def contract_problems(
     contract: contract_module.Contract, source: str
-) -> Iterator[type_problems.Problem]:
-    """Yield what decodes in a contract but cannot be meant."""
+) -> Iterator[type_checks.Problem]:
+    """Yield the inconsistencies of a decoded contract."""
     yield from _duplicates(
         [grant.name for grant in contract.adapters], source, 'adapters'
     )
@@ -33,9 +33,9 @@
 
 def _digest_problems(
     contract: contract_module.Contract, source: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     if not contract.key_digests and not contract.revoked:
-        yield type_problems.Problem(
+        yield type_checks.Problem(
             source,
             '$.key_digests',
             'Expected at least one digest unless the contract is revoked',
@@ -45,52 +45,51 @@
 
 def _deadline_problems(
     contract: contract_module.Contract, source: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     first_token_s = contract.objective.first_token_s
     if contract.deadline_s < first_token_s:
-        yield type_problems.Problem(
+        yield type_checks.Problem(
             source,
             '$.deadline_s',
-            'Expected no less than objective.first_token_s'
-            f' ({first_token_s:g})',
-            type_problems.short_json(contract.deadline_s),
+            f'Expected at least objective.first_token_s ({first_token_s:g})',
+            type_checks.short_json(contract.deadline_s),
         )
 
 
 def _method_problems(
     grant: contract_module.ServiceGrant, source: str, field: str
-) -> Iterator[type_problems.Problem]:
+) -> Iterator[type_checks.Problem]:
     for method in grant.repeatable_methods:
         if method not in HTTP_METHODS:
-            yield type_problems.Problem(
+            yield type_checks.Problem(
                 source,
                 field,
-                f'Unknown method, allowed are {_METHODS_TEXT}',
-                type_problems.short_json(method),
+                f'Unknown method, expected one of {_METHODS_TEXT}',
+                type_checks.short_json(method),
             )
 
 
-def of_settings(
-    found: settings.ProcessSettings, source: str
-) -> Iterator[type_problems.Problem]:
-    """Yield what decodes in settings but cannot work."""
-    if found.work_port and found.work_port == found.control_port:
-        yield type_problems.Problem(
+def settings_problems(
+    process: settings.ProcessSettings, source: str
+) -> Iterator[type_checks.Problem]:
+    """Yield the inconsistencies of decoded settings."""
+    if process.work_port and process.work_port == process.control_port:
+        yield type_checks.Problem(
             source,
             '$.control_port',
-            'Expected another port than work_port',
-            type_problems.short_json(found.control_port),
+            'Expected a port other than work_port',
+            type_checks.short_json(process.control_port),
         )
 
 
 def _duplicates(
-    names: Iterable[str], source: str, field: str
-) -> Iterator[type_problems.Problem]:
-    for name, count in collections.Counter(names).items():
+    items: Iterable[str], source: str, field: str
+) -> Iterator[type_checks.Problem]:
+    for item, count in collections.Counter(items).items():
         if count > 1:
-            yield type_problems.Problem(
+            yield type_checks.Problem(
                 source,
                 f'$.{field}',
-                f'Expected each once, one is there {count} times',
-                type_problems.short_json(name),
+                f'Expected unique items, this one occurs {count} times',
+                type_checks.short_json(item),
             )
