--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -126,7 +126,7 @@
             'Duty: owner of limits',
             'Duty: holder of copies',
             'Duty: watcher of contracts',
-            'Duty: keeper of store permits',
+            'Duty: issuer of store permits',
             'Duty: home of adapters',
         ],
     )
