--- a/benchmarks/path_hop.py
+++ b/benchmarks/path_hop.py
@@ -99,7 +99,7 @@
     found = engine.EngineAnswer(
         200, 'text/event-stream', '', content.iter_any()
     )
-    return runner._relay(delivery, event_stream.EventRelay(), found)
+    return runner._relay_events(delivery, event_stream.EventRelay(), found)
 
 
 def bare_stream(content, writer):
--- a/lacewingpitch/adapter_versions.py
+++ b/lacewingpitch/adapter_versions.py
@@ -1,4 +1,9 @@
-"""The minimum adapter versions that requests must run on."""
+"""The adapter versions that requests require.
+
+The newest published version of an adapter is the minimum that its requests
+accept.  Version 0 means that no update has been published, so that any
+version will do.
+"""
 
 import dataclasses
 
@@ -19,15 +24,22 @@
 class AdapterVersions:
     """The newest published version of each updated adapter.
 
-    Versions never decrease: an update with an older version may arrive
-    late from another process.
+    The recorded version never decreases.  Updates may arrive late, and out
+    of order, from another process.
     """
 
     def __init__(self) -> None:
         self._versions: dict[tuple[str, str], int] = {}
 
     def record(self, model: str, adapter: str, version: int) -> bool:
-        """Record a published version; return whether it is newer."""
+        """Record a published version, unless it is not the newest.
+
+        Returns
+        -------
+        bool
+            Whether the version is newer than the recorded one; if it is
+            not, it is ignored.
+        """
         key = (model, adapter)
         if version <= self._versions.get(key, 0):
             return False
@@ -41,24 +53,28 @@
         return True
 
     def all(self) -> tuple[AdapterVersion, ...]:
-        """Return the newest version of each updated adapter."""
+        """Return the newest versions of all adapters with an update."""
         return tuple(
             AdapterVersion(model, adapter, version)
             for (model, adapter), version in self._versions.items()
         )
 
     def required_version(self, model: str, adapter: str) -> int:
-        """Return the minimum version to run on; 0 if any version will do."""
+        """Return the newest published version; 0 if any version will do."""
         return self._versions.get((model, adapter), 0)
 
 
 def slot_name(model: str, adapter: str, version: int) -> str:
-    """Return the name under which an adapter is placed and held.
+    """Return the name of an adapter in slot tables and in placement.
+
+    It is MODEL/ADAPTER@VERSION, or the bare key MODEL/ADAPTER for any
+    version.  Work orders use `contract.AdapterGrant.engine_name` instead.
 
     Parameters
     ----------
     version
-        Required version; 0 if any version will do.
+        Minimum version that a request requires, or the version that an
+        engine lists; 0 for any version.
     """
     name = f'{model}/{adapter}'
     return f'{name}@{version}' if version else name
--- a/lacewingpitch/engine_runner.py
+++ b/lacewingpitch/engine_runner.py
@@ -1,4 +1,4 @@
-"""Runs the completions of a sidecar on its model engine."""
+"""Runs the work orders that a sidecar receives on its engine."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -28,8 +28,9 @@
 _RESUME_DELAYS_S = (0.0, 0.1, 0.5)
 _MAX_EXCERPT_BYTES = 500
 _OK_STATUSES = range(200, 300)
-# With one of these statuses, the engine has rejected the call unrun.
-_REFUSED_STATUSES = frozenset({400, 404, 405, 413, 415, 422})
+# With both sets, the sidecar reports that the call did not run: the engine
+# rejected it as invalid, or was too busy to start it.
+_INVALID_CALL_STATUSES = frozenset({400, 404, 405, 413, 415, 422})
 _BUSY_STATUSES = frozenset({429, 503})
 _EVENT_STREAM = 'text/event-stream'
 _MS_PER_S = 1000
@@ -43,9 +44,10 @@
 
 
 class EngineRunner:
-    """Runs completions on a model engine, each on its adapter.
+    """Runs each work order on the engine, with the order's adapter.
 
-    It polls the engine's report to detect restarts.
+    It polls the engine's report to detect restarts.  The id of a run at the
+    engine is the id of the attempt.
     """
 
     def __init__(
@@ -63,7 +65,8 @@
         self._slots = adapter_slots
         self._max_running = max_running
         self._queue = queue
-        self._stalls_s: dict[str, float] = {}
+        # Seconds that each run waited for its adapter, by run id.
+        self._adapter_waits_s: dict[str, float] = {}
         self._exits = contextlib.AsyncExitStack()
         self._report_received = asyncio.Event()
 
@@ -84,10 +87,11 @@
         await self._exits.aclose()
 
     def is_prepared(self, order: work.WorkOrder) -> bool:
-        """Whether the engine holds the request's adapter."""
-        # This runs in the task of another request that has ended.
-        # An order without an adapter, which is sent here by mistake, must
-        # fail only in its own task.
+        """Whether a request can start on the order's adapter now."""
+        # The queue calls this to choose the next reservation, usually in
+        # the task of another request, so an exception would fail that
+        # request.  An order without an adapter, which is meant for a plain
+        # service and sent here by mistake, must fail only in its own task.
         if order.adapter is None:
             return False
         return self._slots.holds(order.adapter.engine_name)
@@ -100,7 +104,10 @@
 
     @contextlib.asynccontextmanager
     async def prepare(self, order: work.WorkOrder) -> AsyncIterator[None]:
-        """Hold the request's adapter while the context is open.
+        """Hold the order's adapter while the context is open.
+
+        The wait for the adapter is limited to the order's `deadline_s`,
+        counted from the engine's first report if that is still to come.
 
         Raises
         ------
@@ -110,18 +117,20 @@
         assert order.adapter is not None
         run_id = voiding.attempt_id(order.request_id, order.attempt)
         weight = order.weight * _URGENCY_WEIGHTS[order.urgency]
-        # No order is sent before the first report of the engine.  Its
-        # fencing token would be lower than the engine's last one, and an
-        # adapter with a run left by an earlier sidecar would seem idle.
+        # Before the engine's first report, the fencing token is lower than
+        # the last one that the engine accepted, so the engine would refuse
+        # to load an adapter.  Nor are the adapters that it holds adopted
+        # yet, so one on which a run of an earlier sidecar continues would
+        # seem unused and could be evicted.
         await self._report_received.wait()
         async with self._slots.hold(
             order.adapter.engine_name, order.deadline_s, weight
-        ) as stall_s:
-            self._stalls_s[run_id] = stall_s
+        ) as adapter_wait_s:
+            self._adapter_waits_s[run_id] = adapter_wait_s
             try:
                 yield
             finally:
-                self._stalls_s.pop(run_id, None)
+                self._adapter_waits_s.pop(run_id, None)
 
     async def run(
         self, order: work.WorkOrder, body: bytes, delivery: runs.Delivery
@@ -135,7 +144,7 @@
             request ran.
         """
         call = self._engine_call(order, body)
-        relay = event_stream.EventRelay()
+        event_relay = event_stream.EventRelay()
         try:
             async with self._engine.run(call) as response:
                 await _check_status(response)
@@ -144,7 +153,7 @@
                 if response.content_type != _EVENT_STREAM:
                     return await _read_answer(response)
                 await delivery.begin(response.status, response.content_type)
-                await _relay(delivery, relay, response)
+                await _relay_events(delivery, event_relay, response)
         except asyncio.CancelledError:
             await self._cancel(call.run_id)
             raise
@@ -160,7 +169,7 @@
             raise errors.RefusalError(
                 errors.ErrorKind.OUTCOME_UNKNOWN, str(error)
             ) from error
-        await self._end_stream(call, delivery, relay)
+        await self._resume_and_end_stream(call, delivery, event_relay)
         return None
 
     async def resume(
@@ -173,16 +182,20 @@
         RefusalError
             The engine cannot resume the stream; nothing was delivered.
         """
+        # The engine finds the run by its id, so the call needs no body.
+        # The status is not checked here, because the engine's client raises
+        # an error unless it is 200.  The caller holds the adapter, as it
+        # calls this method within `prepare`.
         call = self._engine_call(order, b'')
-        relay = event_stream.EventRelay()
-        relay.event_count = order.after_events
+        event_relay = event_stream.EventRelay()
+        event_relay.event_count = order.after_events
         try:
             async with self._engine.resume(
                 call, order.after_events
             ) as response:
                 self._check_adapter(response, call)
                 await delivery.begin(response.status, response.content_type)
-                await _relay(delivery, relay, response)
+                await _relay_events(delivery, event_relay, response)
         except errors.PlatformError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.OUTCOME_UNKNOWN, str(error)
@@ -190,7 +203,7 @@
         except asyncio.CancelledError:
             await self._cancel(call.run_id)
             raise
-        await self._end_stream(call, delivery, relay)
+        await self._resume_and_end_stream(call, delivery, event_relay)
 
     def _engine_call(
         self, order: work.WorkOrder, body: bytes
@@ -209,17 +222,20 @@
     def _answer_headers(
         self, call: engine_module.EngineCall
     ) -> dict[str, str]:
-        stall_s = self._stalls_s.get(call.run_id, 0.0)
+        """Return the headers with the adapter wait and the load hint."""
+        adapter_wait_s = self._adapter_waits_s.get(call.run_id, 0.0)
         hint = hint_module.Hint(
             running=self._queue.running,
             queued=self._queue.queued,
             max_running=self._max_running,
+            # Without a name, the expected wait is that for an adapter that
+            # the engine does not hold.
             load_wait_ms=int(self._slots.expected_wait_s() * _MS_PER_S),
             spare_slots=self._slots.spare_slot_count,
             adapters=hint_module.encode_fingerprints(self._slots.adapters),
         )
         return {
-            work.LOAD_STALL_HEADER: f'{stall_s:.3f}',
+            work.LOAD_STALL_HEADER: f'{adapter_wait_s:.3f}',
             work.HINT_HEADER: hint_module.encode_hint(hint),
         }
 
@@ -228,7 +244,7 @@
         response: engine_module.EngineAnswer,
         call: engine_module.EngineCall,
     ) -> None:
-        # If another party changed the engine's slots, the engine could
+        # If another process changed the engine's slots, the engine could
         # answer from another adapter, and the caller would receive a
         # plausible answer from another customer's adapter.  The engine
         # names the adapter that it ran, so such an answer is refused.
@@ -238,22 +254,26 @@
                 'the backend server used another adapter',
             )
 
-    async def _end_stream(
+    async def _resume_and_end_stream(
         self,
         call: engine_module.EngineCall,
         delivery: runs.Delivery,
-        relay: event_stream.EventRelay,
+        event_relay: event_stream.EventRelay,
     ) -> None:
+        """Resume a stream that was cut, up to three times, and end it.
+
+        If it remains incomplete, its last event reports that it was cut.
+        """
         try:
             for delay_s in _RESUME_DELAYS_S:
-                if relay.is_complete or relay.is_failed:
+                if event_relay.is_complete or event_relay.is_failed:
                     break
                 await asyncio.sleep(delay_s)
-                await self._resume_once(call, delivery, relay)
+                await self._resume_once(call, delivery, event_relay)
         except asyncio.CancelledError:
             await self._cancel(call.run_id)
             raise
-        if not relay.is_complete and not relay.is_failed:
+        if not event_relay.is_complete and not event_relay.is_failed:
             error = errors.RefusalError(
                 errors.ErrorKind.ANSWER_CUT, 'the backend server broke off'
             )
@@ -264,15 +284,15 @@
         self,
         call: engine_module.EngineCall,
         delivery: runs.Delivery,
-        relay: event_stream.EventRelay,
+        event_relay: event_stream.EventRelay,
     ) -> None:
-        relay.drop_partial_event()
+        event_relay.drop_partial_event()
         try:
             async with self._engine.resume(
-                call, relay.event_count
+                call, event_relay.event_count
             ) as response:
                 self._check_adapter(response, call)
-                await _relay(delivery, relay, response)
+                await _relay_events(delivery, event_relay, response)
         except (errors.PlatformError, errors.RefusalError) as error:
             log.warning('resume failed', error=str(error))
 
@@ -289,11 +309,19 @@
             await asyncio.sleep(_REPORT_INTERVAL_S)
 
     async def _read_report(self) -> None:
+        """Read the engine's report, and update the fence and the slots."""
+        # The report can be as old as its request, so its age is counted
+        # from before the call.
         requested_at_s = self._clock.monotonic_s()
         report = await self._engine.report()
         if self._fence.apply_report(report):
+            # The engine has restarted and lost its adapters, or this is
+            # the first report.
             self._slots.clear_and_reload()
         self._slots.limit_slot_count(report.adapter_slots)
+        # Adapters that the slot table lacks count as in use, because runs
+        # of an earlier sidecar may continue on them, until a later report
+        # shows them idle.
         self._slots.adopt(report.adapters)
         self._slots.release_adopted(
             requested_at_s, lambda name: not report.running_on(name)
@@ -311,7 +339,7 @@
     if response.status in _OK_STATUSES:
         return
     detail = f'the backend server answered {response.status}'
-    if response.status in _REFUSED_STATUSES:
+    if response.status in _INVALID_CALL_STATUSES:
         text = await _excerpt(response)
         raise errors.RefusalError(
             errors.ErrorKind.BAD_REQUEST, f'{detail}: {text}'
@@ -330,14 +358,19 @@
     return text[:_MAX_EXCERPT_BYTES].decode(errors='replace')
 
 
-async def _relay(
+async def _relay_events(
     delivery: runs.Delivery,
-    relay: event_stream.EventRelay,
+    event_relay: event_stream.EventRelay,
     response: engine_module.EngineAnswer,
 ) -> None:
+    """Deliver the complete events of an answer until it ends or is cut.
+
+    If the stream is cut, this logs the error and returns normally, as all
+    callers go on to `EngineRunner._resume_and_end_stream`, which resumes it.
+    """
     try:
         async for chunk in response.chunks:
-            events = relay.feed(chunk)
+            events = event_relay.feed(chunk)
             if events:
                 await delivery.write(events)
     except (
