--- a/lacewingpitch/turn_candidates.py
+++ b/lacewingpitch/turn_candidates.py
@@ -1,4 +1,10 @@
-"""Selects the engines at which a request may get a turn."""
+"""Selects the engines at which a request may get a turn.
+
+The turns are those of `turn_spec`, which an entry on the users' platform
+requests from an engine's sidecar; the system's own interface doesn't use them.
+Each engine is a `BackendServer` of the published list; an instance is the
+form in which placement ranks it.
+"""
 
 from collections.abc import Collection
 
@@ -15,7 +21,10 @@
 
 
 class TurnCandidates:
-    """Ranks the engines that serve and whose sidecars respond."""
+    """Selects from the listed engines that may get new requests.
+
+    The ejector tracks each engine and its sidecar under separate keys.
+    """
 
     def __init__(
         self,
@@ -31,8 +40,14 @@
     def ranked_candidates(
         self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> list[backend_list.BackendServer]:
-        """Return the engines to try, in order of preference."""
+        """Return the engines to try, in order of preference.
+
+        Leaves out engines that the ejector excludes, themselves or by their
+        sidecars.
+        """
         instances = self._instances.serving(spec.service)
+        # Among equal engines, placement prefers some by a hash of the key.
+        # The run id spreads requests without an adapter over the engines.
         ranked = self._placement.ranked_instances(
             spec.key or spec.run_id, instances
         )
@@ -42,6 +57,8 @@
         allowed_sidecars = set(self._ejector.allowed(sidecar_keys))
         candidates = []
         for name in names:
+            # ``None`` if the retention of an engine that is no longer listed
+            # has expired since the instances were read.
             server = self._servers.find_serving(spec.service, name)
             if server is None or name not in allowed:
                 continue
@@ -52,7 +69,13 @@
     def isolation_server(
         self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> backend_list.BackendServer | None:
-        """Return the one engine that runs suspect requests."""
+        """Return the engine that runs suspect requests; ``None`` without any.
+
+        A suspect was beginning to run on an engine when the engine crashed;
+        see `isolation`.  Entries with the same list select the same engine,
+        except where it is excluded or its sidecar is ejected.  An ejection
+        of the engine itself is not considered.
+        """
         servers = [
             server
             for server in self._servers.serving(spec.service)
@@ -67,7 +90,12 @@
     def fallback_turn(
         self, spec: turn_spec.TurnSpec, excluded: Collection[str]
     ) -> turn_spec.Turn | None:
-        """Return a turn at any engine that is listed with the adapter."""
+        """Return an unconfirmed turn at the first engine that allows one.
+
+        It is used when no sidecar has granted or refused a turn, and no
+        candidate allows an unconfirmed one.  Ejections are ignored.
+        Without an adapter, any engine that isn't excluded will do.
+        """
         for server in self._servers.serving(spec.service):
             if server.name not in excluded:
                 turn = unconfirmed_turn(server, spec)
@@ -77,7 +105,7 @@
 
 
 def sidecar_key(name: str) -> str:
-    """Return the ejector's name for the sidecar of an engine."""
+    """Return the key under which the ejector tracks an engine's sidecar."""
     return f'{name}/sidecar'
 
 
@@ -85,16 +113,17 @@
     server: backend_list.BackendServer,
     spec: turn_spec.TurnSpec,
 ) -> turn_spec.Turn | None:
-    """Return a turn without the sidecar's consent, or ``None``.
+    """Return a turn that the sidecar hasn't granted, or ``None``.
 
-    The engine must be listed with the adapter.  An engine keeps serving
-    while its sidecar is frozen or restarts.  It refuses adapters that it
+    If the request names an adapter, the engine must be listed with the
+    required version or a newer one.  An engine keeps serving while its
+    sidecar doesn't respond or restarts.  It refuses adapters that it
     doesn't hold, so that an outdated list costs an attempt but never yields
     a wrong answer.
     """
     if not spec.adapter:
         return turn_spec.Turn(server, 0)
-    held = server.adapters.get(f'{spec.model}/{spec.adapter}')
-    if held is None or held < spec.version:
+    held_version = server.adapters.get(f'{spec.model}/{spec.adapter}')
+    if held_version is None or held_version < spec.version:
         return None
-    return turn_spec.Turn(server, held)
+    return turn_spec.Turn(server, held_version)
--- a/lacewingpitch/turn_duration.py
+++ b/lacewingpitch/turn_duration.py
@@ -1,4 +1,8 @@
-"""Estimates how long requests hold a turn of their backend server."""
+"""Estimates how long requests hold a turn of their backend server.
+
+`turn_queue` defines turns.  A turn starts when the request runs: the time
+that it waits or prepares, for example by loading its adapter, doesn't count.
+"""
 
 import collections
 import dataclasses
@@ -6,6 +10,7 @@
 from lacewingpitch import work
 
 INITIAL_ESTIMATE_S = 0.1
+# Beyond it, the customer whose last recorded turn is the oldest is dropped.
 MAX_CUSTOMERS = 1024
 _SMOOTHING_RATIO = 0.2
 
@@ -25,6 +30,16 @@
 
 @dataclasses.dataclass(slots=True)
 class _DurationMeans:
+    """Mean durations of the turns of one customer, or of all.
+
+    Parameters
+    ----------
+    per_turn_s
+        Mean over all recorded turns.
+    per_token_s
+        Mean of duration over ``max_tokens``, of the turns that set it.
+    """
+
     per_turn_s: _MovingMean = dataclasses.field(default_factory=_MovingMean)
     per_token_s: _MovingMean = dataclasses.field(default_factory=_MovingMean)
 
@@ -43,7 +58,7 @@
     """Predicts the duration of turns from earlier turns of the customer.
 
     The prediction is proportional to ``max_tokens`` where the caller set
-    it.  A new customer gets the average over all customers.
+    it.  A customer without recorded turns gets the mean over all customers.
     """
 
     def __init__(self) -> None:
@@ -53,7 +68,10 @@
         )
 
     def predict_s(self, order: work.WorkOrder) -> float:
-        """Return the expected duration of a request's turn."""
+        """Return the expected duration of a request's turn, in seconds.
+
+        It is `INITIAL_ESTIMATE_S` until a turn has been recorded.
+        """
         means = self._by_customer.get(order.customer, self._overall)
         duration_s = means.predict_s(order)
         if duration_s is None:
--- a/lacewingpitch/turn_queue.py
+++ b/lacewingpitch/turn_queue.py
@@ -1,6 +1,10 @@
 """Bounded queue of requests for the turns of one backend server.
 
 A turn is a lease on one of a backend server's concurrent execution slots.
+The queue runs in the sidecar beside the server.  In the system's own
+interface, `attempts` queues the requests that the sidecar receives.  On the
+users' platform, `turn_granter` queues the turns that entries request from the
+sidecar; see `turn_spec`.  A sidecar does one or the other.
 """
 
 import asyncio
@@ -16,8 +20,11 @@
 from lacewingpitch import work
 
 RECHECK_INTERVAL_S = 0.2
-_MIN_GRANTED_COUNT = 16
-_MAX_BACKLOG_AGE_S = 20.0
+# With fewer reservations, a customer's rate counts as unknown.
+_MIN_RESERVED_COUNT = 16
+# Bounds the window in which a customer's rate is measured, so that the rate
+# follows changes.
+_MAX_RATE_WINDOW_S = 20.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -55,10 +62,18 @@
 class _Backlog:
     """One customer's queued requests and its measured service rate.
 
+    It exists while the customer has requests without a reservation.
+
     Parameters
     ----------
-    granted_s
-        Turn seconds granted to the customer from `since_s` to `until_s`.
+    count
+        Requests without a reservation.
+    reserved_count
+        Reservations since the backlog began, also before `since_s`; compared
+        with `_MIN_RESERVED_COUNT`.
+    reserved_turns_s
+        Expected turn seconds of the reservations that the customer got from
+        `since_s` to `until_s`.
     cached_wait_s
         Estimated wait of its newest request, valid to `cached_until_s`.
     """
@@ -66,28 +81,31 @@
     since_s: float
     until_s: float
     count: int = 0
-    granted_count: int = 0
-    granted_s: float = 0.0
+    reserved_count: int = 0
+    reserved_turns_s: float = 0.0
     cached_wait_s: float = 0.0
     cached_until_s: float = 0.0
 
-    def record_grant(self, cost_s: float, now_s: float) -> None:
+    def record_reservation(self, cost_s: float, now_s: float) -> None:
+        """Record that a request of the customer got its reservation."""
         self.until_s = now_s
-        self.granted_count += 1
-        self.granted_s += cost_s
+        self.reserved_count += 1
+        self.reserved_turns_s += cost_s
         age_s = now_s - self.since_s
-        if age_s > _MAX_BACKLOG_AGE_S:
+        # Halving the window and its turn seconds keeps the rate, and gives
+        # later reservations more weight in it.
+        if age_s > _MAX_RATE_WINDOW_S:
             self.since_s = now_s - age_s / 2
-            self.granted_s /= 2
+            self.reserved_turns_s /= 2
 
     def estimate_wait_s(self, ahead_s: float) -> float:
         """Return the wait behind `ahead_s` turn seconds of this customer.
 
-        It is 0 while there are too few grants to measure the rate.
+        It is 0 while there are too few reservations to measure the rate.
         """
-        if self.granted_count < _MIN_GRANTED_COUNT:
+        if self.reserved_count < _MIN_RESERVED_COUNT:
             return 0.0
-        return ahead_s * (self.until_s - self.since_s) / self.granted_s
+        return ahead_s * (self.until_s - self.since_s) / self.reserved_turns_s
 
 
 class QueueDiscipline(Protocol):
@@ -106,7 +124,11 @@
         ...
 
     def finish(self, waiter: Waiter, used_s: float) -> None:
-        """Release a reservation and charge the duration of its turn."""
+        """Release a reservation, and charge its customer for the turn.
+
+        The customer's share of turn seconds then counts `used_s` instead of
+        the expected duration; it is 0 if the request got no turn.
+        """
         ...
 
     def forecast(self) -> Iterator[Waiter]:
@@ -116,7 +138,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueLoad:
-    """Load of a queue, as reported to senders in hints.
+    """Load of a queue, as the sidecar reports it to entries in hints.
+
+    A hint is a load report piggybacked on a reply.
 
     Parameters
     ----------
@@ -215,7 +239,7 @@
         return self._turn_count
 
     def load(self) -> QueueLoad:
-        """Return the current load, for hints."""
+        """Return the current load, for hints; see `QueueLoad`."""
         return QueueLoad(self.queued, self.running, self._wait_at_tail_s())
 
     @contextlib.asynccontextmanager
@@ -238,7 +262,7 @@
             await waiter.reserved
             yield Reservation(self, waiter)
         finally:
-            self._leave(waiter)
+            self._release(waiter)
 
     @contextlib.asynccontextmanager
     async def turn(self, waiter: Waiter) -> AsyncIterator[None]:
@@ -262,6 +286,8 @@
             loop.create_future(),
         )
         self._add(waiter)
+        # With fewer reservations than turns, a turn is free for the request.
+        # Its preparation has a time limit of its own.
         if len(self._reserved) >= self._turn_count:
             self._check_deadline(waiter)
         self._assign_reservations()
@@ -274,14 +300,15 @@
         prepare_s = self._prepare_wait_s(waiter.order)
         wait_s = max(self._estimate_wait_s(waiter), prepare_s)
         if not self._meets_deadline(waiter, wait_s):
-            self._remove(waiter)
+            self._withdraw(waiter)
             raise self._deadline_error(waiter, wait_s)
 
     def _estimate_wait_s(self, waiter: Waiter) -> float:
         # Without the cache each refused request of a flood would cost a
         # pass over the queue, and take processor time from the requests
         # that are accepted.  The cached wait expires at the latest when
-        # the refused caller may retry.
+        # the refused caller may retry.  A wait within the deadline expires
+        # at once, so that only waits beyond it are reused.
         backlog = self._backlogs[waiter.order.customer]
         if waiter.arrived_s < backlog.cached_until_s:
             return backlog.cached_wait_s
@@ -293,9 +320,10 @@
         backlog.cached_wait_s = wait_s
         return wait_s
 
-    def _leave(self, waiter: Waiter) -> None:
+    def _release(self, waiter: Waiter) -> None:
+        """Withdraw a request, or release its reservation if it has one."""
         if waiter in self._waiting:
-            self._remove(waiter)
+            self._withdraw(waiter)
         elif waiter in self._reserved:
             del self._reserved[waiter]
             self._discipline.finish(waiter, waiter.used_s)
@@ -311,11 +339,13 @@
         self._backlogs[customer].count += 1
         self._discipline.add(waiter)
 
-    def _remove(self, waiter: Waiter) -> None:
+    def _withdraw(self, waiter: Waiter) -> None:
+        """Take a request without a reservation out of the queue."""
         self._discipline.remove(waiter)
-        self._discard_waiting(waiter)
+        self._uncount_waiting(waiter)
 
-    def _discard_waiting(self, waiter: Waiter) -> None:
+    def _uncount_waiting(self, waiter: Waiter) -> None:
+        """Stop counting a request that the discipline no longer queues."""
         del self._waiting[waiter]
         customer = waiter.order.customer
         self._backlogs[customer].count -= 1
@@ -334,8 +364,8 @@
             waiter = self._discipline.pop()
             waiter.reserved_s = self._clock.monotonic_s()
             backlog = self._backlogs[waiter.order.customer]
-            backlog.record_grant(waiter.cost_s, waiter.reserved_s)
-            self._discard_waiting(waiter)
+            backlog.record_reservation(waiter.cost_s, waiter.reserved_s)
+            self._uncount_waiting(waiter)
             self._reserved[waiter] = None
             _resolve(waiter.reserved)
 
@@ -357,6 +387,12 @@
         self._grant_turns()
 
     def _check_limits(self, order: work.WorkOrder) -> None:
+        """Raise `RefusalError` if a request exceeds a limit of the queue.
+
+        The suggested retry time is when the first queued request, of the
+        customer or of any, is expected to get its turn: it has left the
+        queue by then.
+        """
         customer = order.customer
         if self._can_reserve():
             return
@@ -367,18 +403,21 @@
                 retry_after_s=self._wait_at_head_s(customer),
             )
         if len(self._waiting) >= self._max_queued:
-            self._evict_from_longest_queue(order)
+            self._evict_or_refuse(order)
 
-    def _evict_from_longest_queue(self, order: work.WorkOrder) -> None:
+    def _evict_or_refuse(self, order: work.WorkOrder) -> None:
+        """Evict a request in favour of a new one, or refuse the new one."""
         # A burst of one customer can fill the queue while it is within the
         # customer's own limit.  Evicting the newest request of the longest
-        # queue by weight keeps the burst from refusing other customers.
+        # queue by weight keeps the burst from refusing other customers.  The
+        # new request is refused if its own customer's queue would become at
+        # least as long by weight.
         victim = self._newest_of_longest_queue()
         customer = order.customer
         length = self._waiting_count(customer) + 1
         if self._weighted_length(victim) > length / order.weight:
             error = self._queue_full_error()
-            self._remove(victim)
+            self._withdraw(victim)
             _resolve(victim.reserved, error)
             return
         raise self._queue_full_error()
@@ -399,6 +438,7 @@
         )
 
     def _schedule_recheck(self) -> None:
+        """Schedule a deadline check while `_refuse` may find requests."""
         if self._recheck_timer is None and (self._waiting or self._prepared):
             self._recheck_timer = asyncio.get_running_loop().call_later(
                 RECHECK_INTERVAL_S, self._recheck
@@ -423,15 +463,20 @@
         self._schedule_recheck()
 
     def _remaining_preparation_s(self, waiter: Waiter) -> float:
-        # A request with a reservation is already preparing; the component
-        # that prepares it reports a missed deadline itself.
+        # A request with a reservation is already preparing.  Its caller sets
+        # a time limit for that, and refuses the request when it expires.
         if waiter not in self._waiting:
             return 0.0
         return self._prepare_wait_s(waiter.order)
 
     def _refuse(self, waiter: Waiter, error: errors.RefusalError) -> None:
+        """Refuse a request that waits for a reservation or for its turn.
+
+        A request that still prepares is left alone: it doesn't wait for
+        either, and its preparation has a time limit of its own.
+        """
         if waiter in self._waiting:
-            self._remove(waiter)
+            self._withdraw(waiter)
             _resolve(waiter.reserved, error)
         elif waiter in self._prepared:
             del self._prepared[waiter]
@@ -451,14 +496,15 @@
         )
 
     def _forecast(self) -> Iterator[tuple[Waiter, float]]:
-        """Yield each request without a turn and the expected wait for it.
+        """Yield each request without a turn, and the wait for its turn.
 
-        Requests that are already late take no turn in the forecast.
+        Requests without a reservation that would start after their deadline
+        take no turn in the forecast.
         """
         # The current queue alone underestimates the wait of a customer
         # that sends more than its share, because requests of others arrive
-        # later and go ahead.  The customer's recent grant rate shows how
-        # fast its queue moves.
+        # later and go ahead.  The rate of the customer's recent reservations
+        # shows how fast its queue moves.
         now_s = self._clock.monotonic_s()
         free_in_s = self._turns_free_in_s()
         ahead_s = dict.fromkeys(self._backlogs, 0.0)
@@ -486,8 +532,9 @@
         return times
 
     def _remaining_s(self, waiter: Waiter, now_s: float) -> float:
-        # An overdue turn is expected to last as long again as it is
-        # overdue, so that a stalled engine worsens every estimate.
+        # A turn that has exceeded its expected duration by some time is
+        # expected to last that time again, so that a stalled engine worsens
+        # every estimate.
         expected_s = self._turn_durations.predict_s(waiter.order)
         return abs(expected_s - (now_s - waiter.started_s))
 
--- a/lacewingpitch/turn_spec.py
+++ b/lacewingpitch/turn_spec.py
@@ -1,6 +1,9 @@
 """Requirements for a turn at a model engine, and the granted turn.
 
 A turn is a lease on one of a backend server's concurrent execution slots.
+Here an entry on the users' platform requests it from the engine's sidecar,
+and then sends the request to the engine itself.  In the system's own
+interface, `attempts` acquires it in the sidecar that receives the request.
 """
 
 import dataclasses
