--- a/lacewingpitch/turn_queue.py
+++ b/lacewingpitch/turn_queue.py
@@ -438,7 +438,10 @@
         )
 
     def _schedule_recheck(self) -> None:
-        """Schedule a deadline check while `_refuse` may find requests."""
+        """Schedule a check if `_refuse` could refuse a request now.
+
+        Called when a request arrives, and after each check.
+        """
         if self._recheck_timer is None and (self._waiting or self._prepared):
             self._recheck_timer = asyncio.get_running_loop().call_later(
                 RECHECK_INTERVAL_S, self._recheck
