--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,8 +1,8 @@
-"""What a claim costs: latency, processor time, messages, memory.
+"""Costs of a claim: latency, processor time and memory.
 
-Run ``python -m benchmarks.claims``.  Requests with and without a key take
-turns through the same real processes, so that the ratios hold on a noisy
-machine; the absolute figures do not carry over to another.
+Run ``python -m benchmarks.claims``.  Requests with and without a key
+alternate through the same real processes, so that the ratios hold on a
+noisy machine; absolute figures do not apply to another machine.
 """
 
 import asyncio
@@ -20,21 +20,21 @@
 from lacewingpitch import voter
 from tests import processes
 
-_REQUESTS = 600
-_ROUNDS = 5
-_VOTES = 100_000
-_AHEAD_S = 66.0
-_TIMED_KEYS = 500
-_CLOCKS = {'clock_skew_s': 0.5, 'list_lag_s': 5.0}
+_REQUEST_COUNT = 600
+_ROUND_COUNT = 5
+_VOTE_COUNT = 100_000
+_CLOCK_OFFSET_S = 66.0
+_KEY_COUNT = 500
+_CLOCK_SETTINGS = {'clock_skew_s': 0.5, 'list_lag_s': 5.0}
 
 
-class FixedClock(clock.SystemClock):
-    """The system's clock, some time from now."""
+class OffsetClock(clock.SystemClock):
+    """The system clock with its wall time ahead by a fixed offset."""
 
-    ahead_s = 0.0
+    offset_s = 0.0
 
     def wall_s(self):
-        return super().wall_s() + self.ahead_s
+        return super().wall_s() + self.offset_s
 
 
 def make_instances(count):
@@ -53,7 +53,7 @@
 
 
 def make_voter(members):
-    found_clock = FixedClock()
+    found_clock = OffsetClock()
     found = voter.Voter(
         members[0].name,
         found_clock,
@@ -61,14 +61,14 @@
         skew_s=5.0,
         list_lag_s=60.0,
         list_age_s=lambda: 0.0,
-        max_votes=_VOTES,
+        max_votes=_VOTE_COUNT,
     )
     found.apply_list(members)
-    found_clock.ahead_s = _AHEAD_S
+    found_clock.offset_s = _CLOCK_OFFSET_S
     return found
 
 
-def ask(key, voters):
+def make_vote_request(key, voters):
     return voter.VoteRequest(
         customer='customer-0001',
         key=key,
@@ -82,30 +82,31 @@
 
 
 def measure_memory():
-    """Print the memory of a vote in a table at its bound."""
+    """Print the memory of a vote in a table of the maximum size."""
     members = make_instances(1)
     found = make_voter(members)
     voters = voter.select_voters('', '', 'region-a', members)
-    offset = int(1000 * _AHEAD_S) << 80
+    offset = int(1000 * _CLOCK_OFFSET_S) << 80
     tracemalloc.start()
-    for _ in range(_VOTES):
+    for _ in range(_VOTE_COUNT):
         made = processes.uuid.UUID(processes.new_key()).int + offset
         key = str(processes.uuid.UUID(int=made))
-        found.vote(ask(key, voters))
+        found.vote(make_vote_request(key, voters))
     used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(found) == _VOTES
-    print(f'memory: {used_bytes / _VOTES:.0f} bytes per vote')
+    assert len(found) == _VOTE_COUNT
+    print(f'memory: {used_bytes / _VOTE_COUNT:.0f} bytes per vote')
 
 
 def measure_votes():
-    """Print the processor time of finding a key's voters in one list.
+    """Print the processor time to find a key's voters in one list.
 
-    A vote does it once per list since a lag before the key was made.
+    A vote does this once for each list that was current since one list
+    lag before the creation of the key.
     """
     for count in (9, 13, 250, 1000):
         members = make_instances(count)
-        keys = [processes.new_key() for _ in range(_TIMED_KEYS)]
+        keys = [processes.new_key() for _ in range(_KEY_COUNT)]
         started_s = time.process_time()
         for key in keys:
             voter.select_voters('customer-0001', key, 'region-a', members)
@@ -131,28 +132,30 @@
 
 
 async def measure_path(folder):
-    """Print ratios of requests with a key to those without."""
+    """Print ratios of requests with a key to requests without one."""
     async with processes.Deployment(folder) as deployment:
         for zone in 'abcde':
             await deployment.add_engine(
-                '--token-s=0', availability_zone=f'zone-{zone}', **_CLOCKS
+                '--token-s=0',
+                availability_zone=f'zone-{zone}',
+                **_CLOCK_SETTINGS,
             )
-        await deployment.add_entry(**_CLOCKS)
+        await deployment.add_entry(**_CLOCK_SETTINGS)
         deployment.add_customer(
             'haneul', 'ficus', limits=processes.WIDE_LIMITS
         )
         await deployment.publish()
 
-        async def is_backed():
+        async def is_granted():
             try:
                 await call(deployment, processes.new_key())
             except AssertionError:
                 return False
             return True
 
-        await processes.wait_until(is_backed)
+        await processes.wait_until(is_granted)
         ratios = []
-        for _ in range(_ROUNDS):
+        for _ in range(_ROUND_COUNT):
             ratios.append(await measure_round(deployment))
         for number, name in enumerate(('p50', 'p95', 'processor')):
             found = sorted(ratio[number] for ratio in ratios)
@@ -169,7 +172,7 @@
     for _ in range(4):
         for with_key in (False, True):
             before_s = processor_s(deployment)
-            for _ in range(_REQUESTS // 8):
+            for _ in range(_REQUEST_COUNT // 8):
                 key = processes.new_key() if with_key else ''
                 times[with_key].append(await call(deployment, key))
             spent_s[with_key] += processor_s(deployment) - before_s
--- a/benchmarks/contracts.py
+++ b/benchmarks/contracts.py
@@ -1,7 +1,8 @@
-"""Time until a change of a contract is in force, over real processes.
+"""Time until a change of a contract is in force in real processes.
 
 Run ``python -m benchmarks.contracts``.  Every time is also given as a
-ratio to the direct watch: an entry elected to watch the service.
+ratio to that of a direct watch: by an entry that is elected to watch the
+configuration service.
 """
 
 import asyncio
@@ -21,16 +22,16 @@
 from tests import contract_fakes
 from tests import processes
 
-ENTRIES = 8
-SIDECARS = 4
-ROUNDS = 12
-POLL_S = 0.002
+ENTRY_COUNT = 8
+SIDECAR_COUNT = 4
+ROUND_COUNT = 12
+POLL_INTERVAL_S = 0.002
 IDLE_S = 30.0
-CUSTOMERS = 36_000
+CUSTOMER_COUNT = 36_000
 
 
 class Fleet:
-    """Entries of one zone, sidecars, and links that ask them."""
+    """Entries and sidecars of one zone, and control links to them."""
 
     def __init__(self, deployment):
         self.deployment = deployment
@@ -39,9 +40,9 @@
         self._peers = {}
 
     async def start(self):
-        for _ in range(SIDECARS):
+        for _ in range(SIDECAR_COUNT):
             await self.deployment.add_engine()
-        for _ in range(ENTRIES):
+        for _ in range(ENTRY_COUNT):
             await self.deployment.add_entry()
         self.deployment.add_customer('haneul', 'ficus')
         await self.deployment.publish()
@@ -51,7 +52,7 @@
         return self.deployment.entries + self.deployment.sidecars
 
     async def change(self):
-        """Publish the next revision; return when it was published."""
+        """Publish the next revision; return the time when publishing began."""
         self.revision += 1
         contracts = self.deployment.contracts
         contracts['haneul'] = msgspec.structs.replace(
@@ -72,7 +73,7 @@
             )
             if reply.versions[0].version.revision >= self.revision:
                 return time.monotonic()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def is_watcher(self, process):
         async with self.deployment.session.get(
@@ -110,15 +111,15 @@
         if await fleet.is_watcher(process)
     ]
     direct, others = [], []
-    for _ in range(ROUNDS):
+    for _ in range(ROUND_COUNT):
         started_s = await fleet.change()
-        known_s = await asyncio.gather(
+        known_at_s = await asyncio.gather(
             *(fleet.wait_for_revision(process) for process in fleet.all)
         )
-        for process, at_s in zip(fleet.all, known_s, strict=True):
+        for process, at_s in zip(fleet.all, known_at_s, strict=True):
             times = direct if process in watchers else others
             times.append(at_s - started_s)
-    print(f'{len(watchers)} of {ENTRIES} entries watch the service')
+    print(f'{len(watchers)} of {ENTRY_COUNT} entries watch the service')
     direct_s = statistics.median(direct)
     show('service up, direct watch', direct, direct_s)
     show('service up, from peers', others, direct_s)
@@ -126,7 +127,7 @@
 
 
 async def measure_service_down(fleet, direct_s):
-    """Take the service down as soon as one process knows the change."""
+    """Stop the service as soon as one process has the change."""
     times = []
     platform = fleet.deployment.platform
     for _ in range(3):
@@ -137,10 +138,10 @@
         done, _ = await asyncio.wait(
             tasks, return_when=asyncio.FIRST_COMPLETED
         )
-        accepted_s = min(task.result() for task in done)
+        accepted_at_s = min(task.result() for task in done)
         await fleet.deployment.set_faults(platform, config_down=True)
         times += [
-            max(0.0, at_s - accepted_s)
+            max(0.0, at_s - accepted_at_s)
             for at_s in await asyncio.gather(*tasks)
         ]
         await fleet.deployment.set_faults(platform)
@@ -156,14 +157,14 @@
         await asyncio.gather(
             *(fleet.wait_for_revision(p) for p in fleet.all if p is not paused)
         )
-        woken_s = time.monotonic()
+        resumed_at_s = time.monotonic()
         paused.resume()
-        times.append(await fleet.wait_for_revision(paused) - woken_s)
+        times.append(await fleet.wait_for_revision(paused) - resumed_at_s)
     show('paused, from waking', times, direct_s)
 
 
 async def measure_leaving(fleet):
-    """Measure from the publishing of the list to the first refusal."""
+    """Measure the time from publishing the list to the first refusal."""
     deployment = fleet.deployment
     times = []
     for number, sidecar in enumerate(deployment.sidecars[:-1]):
@@ -175,7 +176,7 @@
         ]
         started_s = time.monotonic()
         await deployment.publish_instances()
-        await until_leaving(deployment, sidecar)
+        await wait_until_leaving(deployment, sidecar)
         times.append(time.monotonic() - started_s)
     print(
         f'leaving, from the list to refusals: n={len(times)}'
@@ -184,12 +185,12 @@
     )
 
 
-async def until_leaving(deployment, sidecar):
+async def wait_until_leaving(deployment, sidecar):
     while True:
         async with deployment.session.get(sidecar.url + '/readyz') as answer:
             if answer.status == 503:
                 return
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def measure_calls(fleet):
@@ -199,8 +200,8 @@
     per_s = (after.config - before.config) / IDLE_S
     print(
         f'configuration service: {per_s:.2f} calls/s,'
-        f' {after.config_waiting} watches waiting, {ENTRIES} entries,'
-        f' {SIDECARS} sidecars'
+        f' {after.config_waiting} watches waiting, {ENTRY_COUNT} entries,'
+        f' {SIDECAR_COUNT} sidecars'
     )
     zones = 11
     watchers = zones * contract_gossip.WATCHERS_PER_ZONE
@@ -219,10 +220,10 @@
 
 
 def measure_memory():
-    """Return a full registry, for the messages' sizes."""
+    """Print the memory of a full registry and the sizes of messages."""
     before = resident_bytes()
     registry = contract_registry.ContractRegistry()
-    for number in range(CUSTOMERS):
+    for number in range(CUSTOMER_COUNT):
         name = f'customer-{number:05}'
         made = contract_fakes.make_contract(name, 1, keys=(f'key-{number}',))
         registry.accept_json(msgspec.json.encode(made), 'bench')
@@ -232,7 +233,7 @@
         sidecar.record_version(str(version.customer), version.version)
     after = resident_bytes()
     print(
-        f'{CUSTOMERS} contracts without adapters at an entry:'
+        f'{CUSTOMER_COUNT} contracts without adapters at an entry:'
         f' {(middle - before) / 1e6:.1f} MB;'
         f' versions alone at a sidecar: {(after - middle) / 1e6:.1f} MB'
     )
--- a/benchmarks/suspects.py
+++ b/benchmarks/suspects.py
@@ -1,7 +1,8 @@
-"""Ways to stop a request that crashes engines, in virtual time.
+"""Strategies against a request that crashes engines, in virtual time.
 
-One deadly request comes again and again at all entries, beside others; in
-the second load engines crash by themselves and no request is to blame.
+In the first load one deadly request arrives again and again at all
+entries, among others.  In the second load engines crash by themselves,
+without a request as the cause.
 """
 
 import asyncio
@@ -13,24 +14,24 @@
 from lacewingpitch import crash_record
 from lacewingpitch import suspect_exchange
 
-LENGTH_S = 60.0
-SEEDS = 5
-DOWN_S = 6.0
-CONFIRM_S = 0.05
-TO_CRASH_S = 0.05
+DURATION_S = 60.0
+SEED_COUNT = 5
+RESTART_S = 6.0
+CONFIRMATION_S = 0.05
+TIME_TO_CRASH_S = 0.05
 RUN_S = 3.0
-JUST_BEGUN_S = 0.5
+START_PHASE_S = 0.5
 PROBATION_S = 1.5
 OTHERS_PER_S = 8.0
 DEADLY_PER_S = 2.0
 CRASHES_PER_S = 0.4
 MAX_ATTEMPTS = 2
-NEVER = 10**6
-WAYS = {
-    'nothing': crash_record.Thresholds(NEVER, NEVER),
-    'refused at 1': crash_record.Thresholds(NEVER, 1),
-    'refused at 2': crash_record.Thresholds(NEVER, 2),
-    'refused at 3': crash_record.Thresholds(NEVER, 3),
+UNREACHED_COUNT = 10**6
+STRATEGIES = {
+    'nothing': crash_record.Thresholds(UNREACHED_COUNT, UNREACHED_COUNT),
+    'refused at 1': crash_record.Thresholds(UNREACHED_COUNT, 1),
+    'refused at 2': crash_record.Thresholds(UNREACHED_COUNT, 2),
+    'refused at 3': crash_record.Thresholds(UNREACHED_COUNT, 3),
     'isolated at 1, refused at 3': crash_record.Thresholds(1, 3),
     'isolated at 2, refused at 3': crash_record.Thresholds(2, 3),
 }
@@ -47,16 +48,16 @@
 
 
 class CutError(Exception):
-    """The engine ended."""
+    """The engine crashed during the request."""
 
 
 class Engine:
     """An engine and its sidecar."""
 
-    def __init__(self, number, scene):
-        self.scene = scene
+    def __init__(self, number, simulation):
+        self.simulation = simulation
         self.number = number
-        self.record = scene.new_record()
+        self.record = simulation.new_record()
         self.up_at_s = 0.0
         self.runs = []
         self.isolated_until_s = 0.0
@@ -66,31 +67,35 @@
         return f'{self.number}@{self.up_at_s}'
 
     def crash(self):
-        now_s = self.scene.now_s
+        now_s = self.simulation.now_s
         if now_s < self.up_at_s:
             return
         start_id = self.start_id
-        self.scene.counts['crashes'] += 1
-        self.up_at_s = now_s + DOWN_S
+        self.simulation.counts['crashes'] += 1
+        self.up_at_s = now_s + RESTART_S
         for run in self.runs:
-            has_just_begun = now_s < run.first_event_s + JUST_BEGUN_S
+            is_in_start_phase = now_s < run.first_event_s + START_PHASE_S
             run.task.cancel()
-            self.scene.counts['cut'] += 1
-            run.crash = start_id if has_just_begun else None
+            self.simulation.counts['cut'] += 1
+            run.crash = start_id if is_in_start_phase else None
         self.runs = []
 
     async def run(self, fingerprint, is_isolated):
-        """Run a request; return the start that crashed, if it did."""
-        now_s = self.scene.now_s
+        """Run a request; raise `CutError` if the engine crashes.
+
+        The error holds the start ID of the engine if the request had just
+        begun, else ``None``.
+        """
+        now_s = self.simulation.now_s
         is_deadly = fingerprint == 'deadly'
-        to_first_s = TO_CRASH_S
+        time_to_first_s = TIME_TO_CRASH_S
         if not is_deadly:
-            to_first_s = self.scene.random.uniform(0.1, 0.4)
-        run = Run(fingerprint, now_s + to_first_s, is_isolated)
+            time_to_first_s = self.simulation.random.uniform(0.1, 0.4)
+        run = Run(fingerprint, now_s + time_to_first_s, is_isolated)
         run.crash = None
-        run.task = asyncio.create_task(asyncio.sleep(to_first_s + RUN_S))
+        run.task = asyncio.create_task(asyncio.sleep(time_to_first_s + RUN_S))
         if is_deadly:
-            asyncio.get_running_loop().call_later(TO_CRASH_S, self.crash)
+            asyncio.get_running_loop().call_later(TIME_TO_CRASH_S, self.crash)
         self.runs.append(run)
         try:
             await run.task
@@ -100,29 +105,29 @@
 
 
 class Entry:
-    """An entry, with what it knows."""
+    """An entry with its record of crashes."""
 
-    def __init__(self, scene):
-        self.scene = scene
-        self.record = scene.new_record()
+    def __init__(self, simulation):
+        self.simulation = simulation
+        self.record = simulation.new_record()
         self.exchange = suspect_exchange.SuspectExchange(self.record)
 
-    async def carry(self, fingerprint):
-        """Return what became of an attempt of a caller."""
+    async def forward(self, fingerprint):
+        """Return the outcome of a caller's request."""
         for _ in range(MAX_ATTEMPTS):
             handling = self.record.handling(fingerprint)
             if handling is crash_record.Handling.REFUSED:
                 return 'barred'
             is_isolated = handling is crash_record.Handling.ISOLATED
-            engine = self.scene.choose(is_isolated)
-            if engine is None or not self._ask(
+            engine = self.simulation.choose_engine(is_isolated)
+            if engine is None or not self._request_turn(
                 engine, fingerprint, is_isolated
             ):
                 return 'come back'
             try:
                 await engine.run(fingerprint, is_isolated)
             except CutError as error:
-                await asyncio.sleep(CONFIRM_S)
+                await asyncio.sleep(CONFIRMATION_S)
                 if error.args[0]:
                     self.record.record_crash(fingerprint, error.args[0])
                 continue
@@ -130,7 +135,7 @@
             return 'served'
         return 'failed'
 
-    def _ask(self, engine, fingerprint, is_isolated):
+    def _request_turn(self, engine, fingerprint, is_isolated):
         ip = str(engine.number)
         sent = self.exchange.update_for(ip)
         engine.record.merge(sent.states if sent else ())
@@ -142,7 +147,7 @@
             else crash_record.Handling.FREE
         ):
             return False
-        now_s = self.scene.now_s
+        now_s = self.simulation.now_s
         if is_isolated:
             if now_s < engine.isolated_until_s:
                 return False
@@ -150,7 +155,7 @@
         return True
 
 
-class Scene:
+class Simulation:
     """Entries and engines."""
 
     def __init__(self, thresholds, entry_count, engine_count, seed):
@@ -171,7 +176,7 @@
             thresholds=self.thresholds,
         )
 
-    def choose(self, is_isolated):
+    def choose_engine(self, is_isolated):
         up = [e for e in self.engines if self.now_s >= e.up_at_s]
         if is_isolated:
             first = self.engines[0]
@@ -179,16 +184,18 @@
         return self.random.choice(up) if up else None
 
     async def call(self, fingerprint):
-        """Play a caller, who comes back once."""
+        """Send a request as a caller that retries once."""
         for _ in range(2):
-            outcome = await self.random.choice(self.entries).carry(fingerprint)
+            outcome = await self.random.choice(self.entries).forward(
+                fingerprint
+            )
             if outcome in ('served', 'barred'):
                 break
             await asyncio.sleep(1.0)
         if fingerprint != 'deadly':
             self.counts[outcome] += 1
 
-    async def play(self, is_deadly):
+    async def run_load(self, is_deadly):
         rates = {'other': OTHERS_PER_S * len(self.engines)}
         rates['deadly' if is_deadly else 'crash'] = (
             DEADLY_PER_S if is_deadly else CRASHES_PER_S
@@ -196,7 +203,7 @@
         total_per_s = sum(rates.values())
         tasks = []
         number = 0
-        while self.now_s < LENGTH_S:
+        while self.now_s < DURATION_S:
             await asyncio.sleep(self.random.expovariate(total_per_s))
             kind = self.random.choices(list(rates), rates.values())[0]
             if kind == 'crash':
@@ -210,24 +217,26 @@
 
 
 def measure(thresholds, entry_count, engine_count, is_deadly):
-    """Return counts over all seeds."""
+    """Return the sums of the counts over all seeds."""
     counts = collections.Counter()
-    for seed in range(SEEDS):
+    for seed in range(SEED_COUNT):
 
         async def main(seed=seed):
-            scene = Scene(thresholds, entry_count, engine_count, seed)
-            return await scene.play(is_deadly)
+            simulation = Simulation(
+                thresholds, entry_count, engine_count, seed
+            )
+            return await simulation.run_load(is_deadly)
 
         counts += virtual_time.run(main())
     return counts
 
 
 def main():
-    """Print the table."""
-    print('| way | load | crashes | cut | served | barred | failed |')
+    """Print the results as a Markdown table."""
+    print('| strategy | load | crashes | cut | served | barred | failed |')
     print('| --- | --- | --- | --- | --- | --- | --- |')
     for is_deadly, load in ((True, 'a deadly request'), (False, 'crashes')):
-        for way, thresholds in WAYS.items():
+        for strategy, thresholds in STRATEGIES.items():
             found = measure(thresholds, 4, 5, is_deadly)
             ended = sum(
                 found[key]
@@ -235,11 +244,11 @@
             )
             lost = found['failed'] + found['come back']
             print(
-                f'| {way} | {load} | {found["crashes"] / SEEDS:.1f} '
-                f'| {found["cut"] / SEEDS:.0f} '
+                f'| {strategy} | {load} | {found["crashes"] / SEED_COUNT:.1f} '
+                f'| {found["cut"] / SEED_COUNT:.0f} '
                 f'| {found["served"] / ended:.4f} '
-                f'| {found["barred"] / SEEDS:.1f} '
-                f'| {lost / SEEDS:.1f} |'
+                f'| {found["barred"] / SEED_COUNT:.1f} '
+                f'| {lost / SEED_COUNT:.1f} |'
             )
 
 
--- a/benchmarks/usage.py
+++ b/benchmarks/usage.py
@@ -1,9 +1,9 @@
-"""Ways to keep one organisation's limit over all entries, compared.
+"""Strategies to enforce an organisation's limit across entries, compared.
 
     python -m benchmarks.usage [--seed 1]
 
-The real decision objects in virtual time: leases from one owner, beside an
-equal share of the limit at each entry.
+The product's classes run in virtual time: leases from one owner, against
+an equal share of the limit at each entry.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 COSTS = (200, 1_000, 1_200, 2_600)
 MEAN_COST = sum(COSTS) / len(COSTS)
 ROUND_TRIP_S = 0.004
-LENGTH_S = 30.0
+DURATION_S = 30.0
 WINDOW_S = 8.0
 LIMIT = organisation.UsageLimit(RATE_PER_S, BURST)
 CALLER = organisation.Organisation('balcony', limit=LIMIT)
 
 
 class Link:
-    """Messages to one owner, lost while it is silent."""
+    """Messages to one owner, lost for entries that are cut off."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -55,7 +55,7 @@
         self.owner = usage_lease.UsageOwner(self._clock)
 
 
-class Owners:
+class SingleOwner:
     def owner(self, _organisation):
         return '10.0.0.1'
 
@@ -64,7 +64,7 @@
 
 
 class EqualShare:
-    """Each entry admits one part in as many as there are entries."""
+    """Each entry admits the same share of the limit."""
 
     def __init__(self, clock, entry_count):
         self._clock = clock
@@ -83,16 +83,16 @@
         yield
 
 
-class Play:
-    """One way under one load."""
+class Simulation:
+    """One strategy under one load."""
 
-    def __init__(self, way, entry_count):
+    def __init__(self, strategy, entry_count):
         self.clock = virtual_time.LoopClock()
         self.link = Link(self.clock)
         self.admitted = collections.deque()
         self.refused_count = 0
-        self.asked_count = 0
-        if way == 'equal share':
+        self.request_count = 0
+        if strategy == 'equal share':
             self.entries = [
                 EqualShare(self.clock, entry_count) for _ in range(entry_count)
             ]
@@ -101,7 +101,7 @@
                 usage_limits.UsageLimits(
                     f'edge-{n}',
                     self.link,
-                    Owners(),
+                    SingleOwner(),
                     self.clock,
                     lambda: 1,
                     lambda: entry_count,
@@ -110,38 +110,38 @@
             ]
 
     async def call(self, entry, cost):
-        self.asked_count += 1
+        self.request_count += 1
         try:
             async with entry.charged(CALLER, cost, 0):
                 self.admitted.append((self.clock.boot_s(), cost))
         except errors.RefusalError:
             self.refused_count += 1
 
-    async def load(self, ratio, skew, source):
-        """Play calls at a ratio of the limit, most at the first entries."""
+    async def load(self, ratio, skew, rng):
+        """Send calls at a ratio of the limit, most from the first entries."""
         per_s = ratio * RATE_PER_S / MEAN_COST
         weights = [1.0 / (n + 1) ** skew for n in range(len(self.entries))]
-        until_s = self.clock.boot_s() + LENGTH_S
+        end_s = self.clock.boot_s() + DURATION_S
         calls = set()
-        while self.clock.boot_s() < until_s:
-            await asyncio.sleep(source.expovariate(per_s))
-            (entry,) = source.choices(self.entries, weights)
-            call = asyncio.create_task(self.call(entry, source.choice(COSTS)))
+        while self.clock.boot_s() < end_s:
+            await asyncio.sleep(rng.expovariate(per_s))
+            (entry,) = rng.choices(self.entries, weights)
+            call = asyncio.create_task(self.call(entry, rng.choice(COSTS)))
             calls.add(call)
             call.add_done_callback(calls.discard)
         await asyncio.gather(*calls)
 
     async def restart_owner(self):
-        await asyncio.sleep(LENGTH_S / 2)
+        await asyncio.sleep(DURATION_S / 2)
         self.link.restart()
 
-    async def cut(self):
-        await asyncio.sleep(LENGTH_S / 3)
+    async def cut_half_off(self):
+        await asyncio.sleep(DURATION_S / 3)
         count = len(self.entries) // 2
         self.link.cut_entries = {f'edge-{n}' for n in range(count)}
 
     def worst_window(self):
-        """Return the most in a window, in parts of the limit."""
+        """Return the most usage in a window, relative to the limit."""
         most = total = 0.0
         window = collections.deque()
         for at_s, cost in self.admitted:
@@ -153,27 +153,27 @@
         return most / (WINDOW_S * RATE_PER_S + BURST)
 
 
-# Name: ratio of the limit that is asked for, skew, what happens meanwhile.
+# By name: demand relative to the limit, skew, and the fault if any.
 SCENES = {
     'within the limit': (0.6, 0.0, None),
     'within, skewed': (0.6, 1.5, None),
     'flood': (4.0, 0.0, None),
     'flood, skewed': (4.0, 1.5, None),
-    'flood, owner restarts': (4.0, 0.0, Play.restart_owner),
-    'flood, half cut off': (4.0, 0.0, Play.cut),
-    'within, half cut off': (0.6, 0.0, Play.cut),
+    'flood, owner restarts': (4.0, 0.0, Simulation.restart_owner),
+    'flood, half cut off': (4.0, 0.0, Simulation.cut_half_off),
+    'within, half cut off': (0.6, 0.0, Simulation.cut_half_off),
 }
 
 
-def play(way, entry_count, scene, seed):
-    """Return the play of one way under one load."""
-    ratio, skew, happening = SCENES[scene]
+def simulate(strategy, entry_count, scene, seed):
+    """Return the simulation of one strategy under one load."""
+    ratio, skew, inject_fault = SCENES[scene]
 
     async def main():
-        found = Play(way, entry_count)
+        found = Simulation(strategy, entry_count)
         async with asyncio.TaskGroup() as tasks:
-            if happening is not None:
-                tasks.create_task(happening(found))
+            if inject_fault is not None:
+                tasks.create_task(inject_fault(found))
             tasks.create_task(found.load(ratio, skew, random.Random(seed)))
         return found
 
@@ -183,21 +183,23 @@
 @click.command()
 @click.option('--seed', default=1)
 def main(seed):
-    """Print, for each way, what is above the limit and what is refused."""
+    """Print each strategy's usage above the limit and its refusals."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
-    click.echo('| load | entries | way | worst window | refused | asks/s |')
+    click.echo(
+        '| load | entries | strategy | worst window | refused | asks/s |'
+    )
     click.echo('| --- | --- | --- | --- | --- | --- |')
     for scene in SCENES:
         for entry_count in ENTRY_COUNTS:
-            for way in ('leases', 'equal share'):
-                found = play(way, entry_count, scene, seed)
-                refused = found.refused_count / found.asked_count
+            for strategy in ('leases', 'equal share'):
+                found = simulate(strategy, entry_count, scene, seed)
+                refused = found.refused_count / found.request_count
                 click.echo(
-                    f'| {scene} | {entry_count} | {way} |'
+                    f'| {scene} | {entry_count} | {strategy} |'
                     f' {found.worst_window():.2f} | {refused:.1%} |'
-                    f' {found.link.count / LENGTH_S:.0f} |'
+                    f' {found.link.count / DURATION_S:.0f} |'
                 )
 
 
