--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,9 +1,9 @@
 """Placement, slots and pacing under load and faults, against baselines.
 
 Run ``python -m benchmarks.policy``; it is seeded and repeatable.  The
-decision classes are the product's own; engines, store and the time are
-stand-ins.  A refused request counts with its whole deadline as stall,
-so that refusing cannot pass for serving.
+classes that make decisions are the product's own; engines, store and time
+are stand-ins.  A refused request counts with its whole deadline as stall,
+so that a policy cannot improve its figures by refusals.
 """
 
 import asyncio
@@ -39,20 +39,26 @@
 BASELINES = ('random', 'hash', 'least loaded')
 POLICIES = (*BASELINES, 'lacewingpitch')
 BOUND = 'bound'
-# Without these the bench ends in about a minute on a quiet machine.
-LEFT_OUT = ('haneul shift', 'haneul 5% fail', 'assoc shift', 'assoc 5% fail')
+# Skipped by default, so that the benchmark takes about a minute on an idle
+# machine.
+SKIPPED_BY_DEFAULT = (
+    'haneul shift',
+    'haneul 5% fail',
+    'assoc shift',
+    'assoc 5% fail',
+)
 NO_FORESIGHT = 'no foresight'
 MAX_ATTEMPTS = 3
 WORKERS = 4
 MAX_QUEUED = 1024
 _REPORT_S = 1.0
-_DELAY_STEP = 0.01
-_GOOD_STALL_S = 2.0
+_DELAY_STEP_RATIO = 0.01
+_MAX_GOOD_STALL_S = 2.0
 
 
 @dataclasses.dataclass
 class Result:
-    """What one policy made of one workload."""
+    """Figures of one policy under one workload."""
 
     policy: str
     stall_mean_s: float
@@ -69,7 +75,7 @@
 
 
 class DirectPermits:
-    """Way to the issuer without a network; it takes a moment."""
+    """A link to the permit issuer that only adds the network delay."""
 
     def __init__(self, issuer, sidecar_count, network_s):
         self._issuer = issuer
@@ -89,7 +95,7 @@
 
 
 class DirectHomes:
-    """Way to the directories without a network; it takes a moment."""
+    """A link to the directories that only adds the network delay."""
 
     def __init__(self, directories, network_s):
         self._directories = directories
@@ -101,7 +107,7 @@
 
 
 class AdapterFirst:
-    """Adapter, then a turn first come first served: the baselines' way."""
+    """The baselines' order: first the adapter, then a turn, both FIFO."""
 
     def __init__(self, engine, slots):
         self._slots = slots
@@ -142,10 +148,10 @@
             self._turns.release()
 
 
-class PlaceFirst:
-    """The product's queue and order: place, adapter, turn.
+class ReservationFirst:
+    """The product's order: queue reservation, adapter, turn.
 
-    It mirrors `attempts.Attempts`, with nothing but these three steps.
+    These are the steps of `attempts.Attempts`, and nothing else.
     """
 
     def __init__(self, engine, slots, clock):
@@ -181,14 +187,14 @@
         start_by_s = self._clock.monotonic_s() + order.deadline_s
         try:
             async with asyncio.timeout(order.deadline_s):
-                place = await held.enter_async_context(
+                reservation = await held.enter_async_context(
                     self._queue.reserve(order)
                 )
                 left_s = start_by_s - self._clock.monotonic_s()
                 stall_s = await held.enter_async_context(
                     self._slots.hold(key, left_s)
                 )
-                await held.enter_async_context(place.turn())
+                await held.enter_async_context(reservation.turn())
                 return stall_s
         except TimeoutError as error:
             raise errors.RefusalError(
@@ -197,7 +203,7 @@
 
 
 class Machine:
-    """An engine with its sidecar's decisions."""
+    """An engine with the classes by which its sidecar decides."""
 
     def __init__(self, name, pool, engine, slots, turns):
         self.instance = live_list.Instance(
@@ -213,16 +219,17 @@
         self.engine = engine
         self.slots = slots
         self.turns = turns
-        self.is_empty = False
+        self.has_restarted = False
 
-    def read_report(self, asked_at_s):
-        if self.is_empty:
-            self.is_empty = False
+    def read_report(self, requested_at_s):
+        if self.has_restarted:
+            self.has_restarted = False
             self.slots.clear_and_reload()
         if isinstance(self.slots, slots_module.AdapterSlots):
             self.slots.adopt(sorted(self.engine.held))
             self.slots.release_adopted(
-                asked_at_s, lambda name: not self.engine.busy_on.get(name)
+                requested_at_s,
+                lambda name: not self.engine.running_by_adapter.get(name),
             )
 
     def hint(self):
@@ -260,14 +267,15 @@
         )
         self.machines = self._make_machines()
         self.by_name = {m.instance.name: m for m in self.machines}
-        # Tuples, as membership gives them: their weights are kept.
+        # Tuples, as `Membership` returns them, since the product caches the
+        # weights of a tuple.
         self.instances = [
             tuple(m.instance for m in self.machines if m.pool == pool)
             for pool in range(len(self.site.engines))
         ]
         self.entries = self._make_entries()
-        faults = asyncio.create_task(self._faults())
-        reports = asyncio.create_task(self._reports())
+        faults = asyncio.create_task(self._inject_faults())
+        reports = asyncio.create_task(self._read_reports())
         await self._send_all()
         for task in (faults, reports):
             task.cancel()
@@ -294,9 +302,11 @@
     def _make_issuer(self):
         self.pacers = {}
 
-        def notify(asker, grant):
+        def notify(requester, grant):
             asyncio.get_running_loop().call_later(
-                self.workload.network_s, self.pacers[asker].apply_grant, grant
+                self.workload.network_s,
+                self.pacers[requester].apply_grant,
+                grant,
             )
 
         return store_pacing.PermitIssuer(self.clock, self.site.store, notify)
@@ -320,7 +330,7 @@
     def _make_turns(self, engine, slots):
         if self.policy in BASELINES:
             return AdapterFirst(engine, slots)
-        return PlaceFirst(engine, slots, self.clock)
+        return ReservationFirst(engine, slots, self.clock)
 
     def _make_entries(self):
         count = self.site.entry_count
@@ -381,18 +391,18 @@
             return False
         return True
 
-    async def _faults(self):
+    async def _inject_faults(self):
         third_s = self.site.length_s / 3
         await asyncio.sleep(third_s)
         if self.workload.restart:
             self.machines[0].engine.restart()
-            self.machines[0].is_empty = True
+            self.machines[0].has_restarted = True
         if self.workload.slow_store:
             self.store.slow_down(2.0)
             await asyncio.sleep(third_s)
             self.store.slow_down(1.0)
 
-    async def _reports(self):
+    async def _read_reports(self):
         while True:
             await asyncio.sleep(_REPORT_S)
             for machine in self.machines:
@@ -423,7 +433,9 @@
         for request in self.requests:
             customer = request.adapter % policy_workloads.CUSTOMER_COUNT
             sent[customer] += 1
-            good[customer] += self.stalls_s[request.number] <= _GOOD_STALL_S
+            good[customer] += (
+                self.stalls_s[request.number] <= _MAX_GOOD_STALL_S
+            )
         shares = [g / s for g, s in zip(good, sent, strict=True) if s]
         squares = sum(share * share for share in shares)
         return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
@@ -508,7 +520,7 @@
 
 
 def run_objectives():
-    """Return each site's plain workload under both sites' weights."""
+    """Return each site's steady or bursty workload under both weights."""
     workloads = [policy_workloads.WORKLOADS[n] for n in (0, 6)]
     weights = [workload.site.stall_weight for workload in workloads]
     return [
@@ -519,7 +531,7 @@
 
 
 def make_objective_table(rows):
-    """Return the table that sets the objectives against each other."""
+    """Return the table that compares the objectives."""
     table = rich.table.Table(title='objectives', title_justify='left')
     for column in ('workload', 'weight', 'stall s', 'wait s', 'efficiency'):
         table.add_column(column, justify='right')
@@ -535,23 +547,24 @@
 
 
 def vary(workload, seed, repeats):
-    """Return the same workload with network delays that barely differ.
+    """Return the workload repeated with slightly different network delays.
 
-    Which request meets which load is chaotic: one run tells as much of
-    luck as of the policy.  The mean of several tells more.
+    Small differences in timing change which requests wait for which
+    loads, so that one run depends on chance as much as on the policy.  The
+    mean of several runs is more reliable.
     """
     return [
         dataclasses.replace(
             workload,
             seed=seed,
-            network_s=workload.network_s * (1.0 + _DELAY_STEP * number),
+            network_s=workload.network_s * (1.0 + _DELAY_STEP_RATIO * number),
         )
         for number in range(repeats)
     ]
 
 
 def run_mean(workloads, policy):
-    """Return the means of a policy over repeats of a workload."""
+    """Return the means of a policy over the repeats of a workload."""
     if policy in (BOUND, NO_FORESIGHT):
         return run_policy(workloads[0], policy)
     results = [run_policy(workload, policy) for workload in workloads]
@@ -563,36 +576,38 @@
     return found
 
 
-def _is_wanted(workload_name, names):
+def _is_selected(workload_name, names):
     if not names:
-        return workload_name not in LEFT_OUT
+        return workload_name not in SKIPPED_BY_DEFAULT
     return 'all' in names or any(name in workload_name for name in names)
 
 
 @click.command()
 @click.argument('names', nargs=-1)
-@click.option('--seed', type=int, default=1, help='Of the workloads.')
+@click.option('--seed', type=int, default=1, help='Seed of the workloads.')
 @click.option(
     '--repeats',
     type=click.IntRange(min=1),
     default=1,
-    help='Runs to take the mean of, with delays that differ by 1%.',
+    help='Number of runs to average, with delays that differ by 1%.',
 )
 @click.option(
     '--objectives/--no-objectives',
     default=True,
-    help='Whether to set the objectives against each other (seed 1).',
+    help='Whether to compare the objectives (seed 1).',
 )
 def main(names, seed, repeats, objectives):
-    """Run the workloads that are named in part, most, or `all`."""
+    """Run workloads whose names contain NAMES, or `all`; most by default."""
     workloads = [
         vary(workload, seed, repeats)
         for workload in policy_workloads.WORKLOADS
-        if _is_wanted(workload.name, names)
+        if _is_selected(workload.name, names)
     ]
     console = rich.console.Console(width=170)
     if not names:
-        console.print(f'left out (`all` runs them): {", ".join(LEFT_OUT)}')
+        console.print(
+            f'left out (`all` runs them): {", ".join(SKIPPED_BY_DEFAULT)}'
+        )
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         pairs = list(
             itertools.product(workloads, (*POLICIES, NO_FORESIGHT, BOUND))
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -1,4 +1,4 @@
-"""What the policy is held against: three baselines and a bound."""
+"""Baselines and bounds that the policy is compared with."""
 
 import asyncio
 import collections
@@ -12,10 +12,10 @@
 
 
 class LruSlots:
-    """Adapter slots as commonly done: loads first come first served.
+    """Adapter slots as commonly managed: first come, first served, and LRU.
 
-    One load at a time, the least recently used idle adapter goes.
-    Requests whose adapter is held wait for nothing.
+    One adapter loads at a time, and the least recently used idle adapter
+    is evicted.  Requests whose adapter is loaded do not wait.
     """
 
     def __init__(self, engine, slot_count):
@@ -23,7 +23,7 @@
         self._slot_count = slot_count
         self._held = collections.OrderedDict()
         self._loads = {}
-        self._turn = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
         self._freed = asyncio.Event()
         self._generation = 0
         self.waiting_count = 0
@@ -35,11 +35,11 @@
     @contextlib.asynccontextmanager
     async def hold(self, name, deadline_s, _weight=1.0):
         loop = asyncio.get_running_loop()
-        asked_at_s = loop.time()
+        requested_at_s = loop.time()
         self.waiting_count += 1
         try:
             async with asyncio.timeout(deadline_s):
-                slot = await self._take(name)
+                slot = await self._acquire(name)
         except TimeoutError as error:
             raise errors.RefusalError(
                 errors.ErrorKind.DEADLINE_UNREACHABLE, 'no slot in time'
@@ -47,7 +47,7 @@
         finally:
             self.waiting_count -= 1
         try:
-            yield loop.time() - asked_at_s
+            yield loop.time() - requested_at_s
         finally:
             slot[0] -= 1
             self._freed.set()
@@ -62,11 +62,11 @@
     async def close(self):
         pass
 
-    async def _take(self, name):
+    async def _acquire(self, name):
         while name not in self._held:
             if name not in self._loads:
                 self._loads[name] = asyncio.create_task(self._load(name))
-                self._loads[name].add_done_callback(_see_exception)
+                self._loads[name].add_done_callback(_retrieve_exception)
             try:
                 await asyncio.shield(self._loads[name])
             except errors.PlatformError as error:
@@ -80,8 +80,8 @@
 
     async def _load(self, name):
         try:
-            async with self._turn:
-                await self._make_room()
+            async with self._load_lock:
+                await self._free_slot()
                 generation = self._generation
                 await self._engine.load_adapter(name, 0)
                 if generation == self._generation:
@@ -89,7 +89,7 @@
         finally:
             del self._loads[name]
 
-    async def _make_room(self):
+    async def _free_slot(self):
         while len(self._held) >= self._slot_count:
             idle = [n for n, slot in self._held.items() if not slot[0]]
             if idle:
@@ -100,14 +100,15 @@
                 await self._freed.wait()
 
 
-def _see_exception(task):
-    # Requests that timed out no longer wait for the load that failed.
+def _retrieve_exception(task):
+    # Requests that timed out no longer await the failed load, and asyncio
+    # logs exceptions that are never retrieved.
     if not task.cancelled():
         task.exception()
 
 
-class _Chooser:
-    """A placement that learns nothing."""
+class _StatelessPlacement:
+    """A placement that ignores hints and requests in progress."""
 
     async def locate(self, key, instances):
         return self.ranked_instances(key, instances)
@@ -120,7 +121,7 @@
         pass
 
 
-class RandomPlacement(_Chooser):
+class RandomPlacement(_StatelessPlacement):
     def __init__(self, seed):
         self._random = random.Random(seed)
 
@@ -128,13 +129,13 @@
         return self._random.sample(instances, len(instances))
 
 
-class HashPlacement(_Chooser):
+class HashPlacement(_StatelessPlacement):
     def ranked_instances(self, key, instances):
         return placement.rank_by_hash(key, instances)
 
 
-class LeastLoaded(_Chooser):
-    """Knows the load of each engine exactly and at once."""
+class LeastLoaded(_StatelessPlacement):
+    """Selects by the exact current number of requests of each engine."""
 
     def __init__(self):
         self._loads = collections.Counter()
@@ -152,12 +153,12 @@
 
 
 class Clairvoyant:
-    """A bound that loads on demand, and knows every later request.
+    """A lower bound with loads on demand and knowledge of all requests.
 
-    All engines of a model are one pool of slots without a limit on what
-    runs; the store is used without a gap and never fails; the adapter
-    with the most waiting requests is loaded first, and the idle one
-    whose next use is farthest goes (Belady).
+    All engines of a model are one pool of slots without a limit on
+    running requests.  The store is used without gaps and never fails.
+    The adapter with the most waiting requests is loaded first, and the
+    idle one with the latest next use is evicted (Belady's algorithm).
     """
 
     def __init__(self, workload, requests):
@@ -233,21 +234,22 @@
             self._free_loaders -= 1
             self.load_count += 1
             load_s = self._load_s * slowdown(self._workload, now_s)
-            self._push(now_s + load_s, self._loaded, best)
+            self._push(now_s + load_s, self._finish_load, best)
 
     def _choose_load(self):
         wanted = [
             (len(requests), pool, adapter)
             for pool, waiting in enumerate(self._waiting)
             for adapter, requests in waiting.items()
-            if (pool, adapter) not in self._loading and self._has_room(pool)
+            if (pool, adapter) not in self._loading
+            and self._has_free_slot(pool)
         ]
         return max(wanted)[1:] if wanted else None
 
     def _loads_of(self, pool):
         return sum(1 for p, _ in self._loading if p == pool)
 
-    def _has_room(self, pool):
+    def _has_free_slot(self, pool):
         used = len(self._held[pool]) + self._loads_of(pool)
         idle = any(not busy for busy in self._held[pool].values())
         return used < self._slots[pool] or idle
@@ -260,7 +262,7 @@
         uses = self._uses[adapter]
         return uses[0] if uses else float('inf')
 
-    def _loaded(self, now_s, found):
+    def _finish_load(self, now_s, found):
         pool, adapter = found
         self._loading.discard(found)
         self._free_loaders += 1
@@ -270,9 +272,9 @@
 
 
 class PooledLru(Clairvoyant):
-    """The bound without its foresight: the least recently used goes.
+    """The bound without foresight: the least recently used is evicted.
 
-    What lies between this and `Clairvoyant` no policy can have that
+    The difference to `Clairvoyant` is out of reach of any policy that
     does not know the future.
     """
 
@@ -289,14 +291,14 @@
 
 
 def slowdown(workload, now_s):
-    """Return how much longer a load takes at a time."""
+    """Return the factor by which loads take longer at some time."""
     third_s = workload.site.length_s / 3
     is_slow = workload.slow_store and third_s <= now_s < 2 * third_s
     return 2.0 if is_slow else 1.0
 
 
 def packed_efficiency(workload, requests):
-    """Return the batch efficiency of perfect packing without stalls."""
+    """Return the batch efficiency of optimal packing without stalls."""
     site = workload.site
     step_s = (
         policy_machines.STEP_BASE_S
@@ -309,9 +311,9 @@
             if request.pool == pool:
                 changes.append((request.at_s, 1))
                 changes.append((request.at_s + request.tokens * step_s, -1))
-        running, seen_s = 0, 0.0
+        running, previous_s = 0, 0.0
         for at_s, change in sorted(changes):
-            work += running * (at_s - seen_s)
-            steps += -(-running // site.max_running) * (at_s - seen_s)
-            running, seen_s = running + change, at_s
+            work += running * (at_s - previous_s)
+            steps += -(-running // site.max_running) * (at_s - previous_s)
+            running, previous_s = running + change, at_s
     return work / (steps * site.max_running)
--- a/benchmarks/policy_machines.py
+++ b/benchmarks/policy_machines.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the weight store and for model engines."""
+"""Stand-ins for the weight store and for model engines, in virtual time."""
 
 import asyncio
 import heapq
@@ -12,9 +12,9 @@
 
 
 class SharedServer:
-    """Works on all its jobs at once, each at the same speed.
+    """A server with processor sharing: all jobs run at the same speed.
 
-    `speed` gives the progress of each job per second for a number of
+    `speed` gives the progress per second of each job for a number of
     jobs.
     """
 
@@ -23,7 +23,7 @@
         self._jobs = []
         self._numbers = itertools.count()
         self._progress = 0.0
-        self._seen_at_s = 0.0
+        self._advanced_at_s = 0.0
         self._timer = None
         self.busy_progress = 0.0
         self.work_done = 0.0
@@ -37,7 +37,7 @@
         done = loop.create_future()
         job = (self._progress + work, next(self._numbers), done)
         heapq.heappush(self._jobs, job)
-        self._plan()
+        self._schedule()
         try:
             await done
         except asyncio.CancelledError:
@@ -45,24 +45,26 @@
             if job in self._jobs:
                 self._jobs.remove(job)
                 heapq.heapify(self._jobs)
-            self._plan()
+            self._schedule()
             raise
 
     def advance(self):
         now_s = asyncio.get_running_loop().time()
         if self._jobs:
-            passed = (now_s - self._seen_at_s) * self._speed(len(self._jobs))
+            passed = (now_s - self._advanced_at_s) * self._speed(
+                len(self._jobs)
+            )
             self._progress += passed
             self.busy_progress += passed
             self.work_done += passed * len(self._jobs)
-        self._seen_at_s = now_s
+        self._advanced_at_s = now_s
 
     def change_speed(self, speed):
         self.advance()
         self._speed = speed
-        self._plan()
+        self._schedule()
 
-    def _plan(self):
+    def _schedule(self):
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -79,11 +81,11 @@
             done = heapq.heappop(self._jobs)[2]
             if not done.done():
                 done.set_result(None)
-        self._plan()
+        self._schedule()
 
 
 class Store:
-    """Weight store that bears a rate; loads too many share it."""
+    """A weight store with a maximum rate, which concurrent loads share."""
 
     def __init__(self, settings, random, failing_ratio=0.0):
         self._settings = settings
@@ -106,14 +108,14 @@
 
 
 class BenchEngine:
-    """Batches what runs on it; a step gives each request one token."""
+    """An engine with batching; each step gives every request one token."""
 
     def __init__(self, store, slot_count, max_running):
         self._store = store
         self._slot_count = slot_count
         self.max_running = max_running
         self.held = set()
-        self.busy_on = {}
+        self.running_by_adapter = {}
         self.load_count = 0
         self.eviction_count = 0
         self.evictions_under_run = 0
@@ -132,15 +134,17 @@
         self.load_count += 1
 
     async def evict_adapter(self, name, _fencing):
-        self.evictions_under_run += bool(self.busy_on.get(name))
+        self.evictions_under_run += bool(self.running_by_adapter.get(name))
         self.held.discard(name)
         self.eviction_count += 1
 
     async def run(self, name, tokens):
         if name not in self.held:
             raise engine_module.AdapterMissingError('not held')
-        self.busy_on[name] = self.busy_on.get(name, 0) + 1
+        self.running_by_adapter[name] = (
+            self.running_by_adapter.get(name, 0) + 1
+        )
         try:
             await self.steps.serve(tokens)
         finally:
-            self.busy_on[name] -= 1
+            self.running_by_adapter[name] -= 1
--- a/benchmarks/policy_trace.py
+++ b/benchmarks/policy_trace.py
@@ -1,7 +1,7 @@
-"""Where a request of the policy bench stalls: by cause and by customer.
+"""Stall times of the policy benchmark's requests by cause and customer.
 
 Run ``python -m benchmarks.policy_trace 'assoc flood' --seed 1``; it
-follows each attempt of the product's policy and sums its seconds.
+traces each attempt under a policy and sums the seconds.
 """
 
 import asyncio
@@ -23,8 +23,8 @@
 
 
 @dataclasses.dataclass
-class Sum:
-    """Requests or attempts of one cause, and their seconds."""
+class DurationSum:
+    """Number and total duration of the requests or attempts of one cause."""
 
     count: int = 0
     seconds: float = 0.0
@@ -35,14 +35,14 @@
 
 
 class TracedRun(policy.Run):
-    """A run that keeps what became of each attempt."""
+    """A run that records the outcome of each attempt."""
 
     def __init__(self, workload, name, stall_weight, turns):
         super().__init__(workload, name, stall_weight)
-        self.causes = collections.defaultdict(Sum)
+        self.causes = collections.defaultdict(DurationSum)
         self.refusals = collections.Counter()
         self._turns_kind = turns
-        self._last = {}
+        self._last_details = {}
         self.flooder = None
 
     def _make_turns(self, engine, slots):
@@ -54,13 +54,13 @@
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         slots = machine.slots
-        was_held = getattr(slots, 'holds', lambda _: False)(key)
+        is_held = getattr(slots, 'holds', lambda _: False)(key)
         slot = getattr(slots, '_slots', {}).get(key)
-        state = 'held' if was_held else slot.state.name if slot else 'absent'
+        state = 'held' if is_held else slot.state.name if slot else 'absent'
         tracer = _Tracer(machine.turns)
         proxy = _Proxy(machine, tracer)
         is_served = await super()._attempt(request, entry, key, proxy)
-        who = self._who(request)
+        who = self._customer_group(request)
         took_s = loop.time() - began_s
         if is_served:
             stall_s = self.stalls_s[request.number]
@@ -74,11 +74,11 @@
             )
         else:
             detail = tracer.detail
-            self._last[request.number] = detail
+            self._last_details[request.number] = detail
             self.causes[who, f'attempt refused: {detail}'].add(took_s)
         return is_served
 
-    def _who(self, request):
+    def _customer_group(self, request):
         customer = request.adapter % policy_workloads.CUSTOMER_COUNT
         if customer != self.flooder:
             return 'others'
@@ -88,8 +88,8 @@
         for request in self.requests:
             if request.number in self.refused:
                 self.causes[
-                    self._who(request),
-                    f'refused: {self._last.get(request.number)}',
+                    self._customer_group(request),
+                    f'refused: {self._last_details.get(request.number)}',
                 ].add(policy_workloads.DEADLINE_S)
         return super()._result()
 
@@ -118,8 +118,8 @@
         return getattr(self._machine, name)
 
 
-def flooder_of(workload):
-    """Return the customer that floods, if one does."""
+def find_flooder(workload):
+    """Return the customer that sends the flood, or ``None``."""
     if not workload.flood:
         return None
     calm = dataclasses.replace(workload, flood=False)
@@ -139,27 +139,27 @@
 @click.option('--name', default='lacewingpitch')
 @click.option('--turns', type=click.Choice(['queue', 'fifo']), default='queue')
 def main(workload, seed, name, turns):
-    """Print where the requests of one workload stall."""
+    """Print the causes of stalls in one workload."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(50)
     )
     found = dataclasses.replace(_WORKLOADS[workload], seed=seed)
     run = TracedRun(found, name, found.site.stall_weight, turns)
-    run.flooder = flooder_of(found)
+    run.flooder = find_flooder(found)
     result = virtual_time.run(run.main())
     table = rich.table.Table(title=f'{workload}, seed {seed}, {turns}')
     for column in ('who', 'cause', 'count', 'seconds', 'stall s/request'):
         table.add_column(column)
     total = len(run.requests)
-    for (who, cause), found_sum in sorted(
+    for (who, cause), duration_sum in sorted(
         run.causes.items(), key=lambda item: -item[1].seconds
     ):
         table.add_row(
             who,
             cause,
-            str(found_sum.count),
-            f'{found_sum.seconds:.0f}',
-            f'{found_sum.seconds / total:.3f}',
+            str(duration_sum.count),
+            f'{duration_sum.seconds:.0f}',
+            f'{duration_sum.seconds / total:.3f}',
         )
     console = rich.console.Console(width=120)
     console.print(table)
--- a/benchmarks/policy_workloads.py
+++ b/benchmarks/policy_workloads.py
@@ -1,4 +1,4 @@
-"""What callers send: seeded, the same for every policy."""
+"""Seeded workloads of the policy benchmark, the same for every policy."""
 
 import bisect
 import dataclasses
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Site:
-    """Engines, store and habits of one of the users."""
+    """Engines, store and request pattern of one site."""
 
     name: str
     engines: tuple[int, int]
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workload:
-    """A site's traffic with something that happens to it."""
+    """A site's requests with a disturbance."""
 
     name: str
     site: Site
@@ -99,7 +99,7 @@
 
 
 def make_order(request, key, deadline_s):
-    """Return a request as its sidecar gets it."""
+    """Return the order for a request, as a sidecar receives it."""
     name, _, version = key.rpartition('@')
     return work.WorkOrder(
         request_id=str(request.number),
@@ -119,42 +119,44 @@
 
 
 def pool_of(adapter, site):
-    """Return the base model of an adapter: engines in proportion."""
+    """Return the base model of an adapter, in proportion to the engines."""
     total = sum(site.engines)
     return 0 if adapter % total < site.engines[0] else 1
 
 
 def make_requests(workload):
-    """Return the requests of a workload, by time."""
+    """Return the requests of a workload in order of time."""
     site = workload.site
     rng = random.Random(workload.seed)
     count = site.adapter_count
-    weights = [1.0 / (place + 1) ** site.zipf for place in range(count)]
+    weights = [1.0 / (rank + 1) ** site.zipf for rank in range(count)]
     sums = list(itertools.accumulate(weights))
     names = list(range(count))
     rng.shuffle(names)
     shifted = names[count // 2 :] + names[: count // 2]
-    found = []
+    requests = []
     at_s = 0.0
     while True:
-        at_s += rng.expovariate(site.sessions_per_s * _pace(workload, at_s))
+        at_s += rng.expovariate(
+            site.sessions_per_s * _rate_factor(workload, at_s)
+        )
         if at_s >= site.length_s:
             break
-        place = bisect.bisect(sums, rng.random() * sums[-1])
+        rank = bisect.bisect(sums, rng.random() * sums[-1])
         late = workload.shift and at_s > site.length_s / 2
-        adapter = (shifted if late else names)[min(place, count - 1)]
-        found += _session(rng, site, at_s, adapter)
+        adapter = (shifted if late else names)[min(rank, count - 1)]
+        requests += _session(rng, site, at_s, adapter)
     if workload.flood:
-        found += _flood(rng, site, names[count // 3])
-    found.sort(key=lambda fields: fields[0])
+        requests += _flood(rng, site, names[count // 3])
+    requests.sort(key=lambda fields: fields[0])
     return [
         Request(at, number, adapter, pool_of(adapter, site), entry, tokens)
-        for number, (at, adapter, entry, tokens) in enumerate(found)
+        for number, (at, adapter, entry, tokens) in enumerate(requests)
     ]
 
 
-def _pace(workload, at_s):
-    # A day in small: quiet, then bursts.
+def _rate_factor(workload, at_s):
+    # A short daily cycle: a quiet phase, then a busy one.
     if not workload.bursts:
         return 1.0
     return 1.8 if (at_s // 60.0) % 2 else 0.5
