--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,9 +1,9 @@
-"""Slopes from which docs/CAPACITY.md is worked out.
+"""Measures the costs by size from which docs/CAPACITY.md is calculated.
 
-Run ``make capacity``.  Each line fits cost = intercept + slope x size by
+Run ``make capacity``.  Each row fits cost = intercept + slope x size by
 least squares over several sizes of the real classes, and gives the root
-of the mean square residual as a share of the mean cost.  Times are
-processor time of one noisy machine, the least of a few runs.
+mean square residual as a share of the mean cost.  Times are processor time
+of one noisy machine, the least of a few runs.
 """
 
 import asyncio
@@ -62,13 +62,13 @@
 ACTIVE = (250, 500, 1_000, 2_000)
 WANTS = (1, 4, 16, 64)
 FLEETS = (40, 80, 160)
-ASKING = (1, 16, 64, 256)
+WAITING_SIDECARS = (1, 16, 64, 256)
 QUEUES = (35, 256, 2_000)
 SIDECAR_CONTRACTS = 1_024
 REGIONS = 4
 ZONES = 11
-_US = slopes.US
-_AHEAD_S = 96.0
+_US_PER_S = slopes.US
+_CLOCK_OFFSET_S = 96.0
 _PROBE_KEYS = 50
 _LOOK_UPS = 2_000
 _EXCHANGES = 200
@@ -86,17 +86,17 @@
 )
 
 
-class FixedClock(clock_module.SystemClock):
-    """The system's clock, some time from now."""
+class OffsetClock(clock_module.SystemClock):
+    """The system clock with its wall time ahead by a fixed offset."""
 
-    ahead_s = 0.0
+    offset_s = 0.0
 
     def wall_s(self):
-        return super().wall_s() + self.ahead_s
+        return super().wall_s() + self.offset_s
 
 
 def make_contract(number: int) -> contract_module.Contract:
-    """Return a contract of one adapter, as an operator would write it."""
+    """Return a contract with one adapter, as an operator would write it."""
     return contract_module.Contract(
         customer=f'customer-{number:05}',
         revision=1 + number % 7,
@@ -158,7 +158,7 @@
 def make_registry(
     contracts: Sequence[bytes], capacity: int | None = None
 ) -> contract_registry.ContractRegistry:
-    """Return a registry that read these contracts."""
+    """Return a registry that has accepted these contracts."""
     registry = contract_registry.ContractRegistry(capacity)
     for raw in contracts:
         registry.accept_json(raw, 'bench')
@@ -166,14 +166,14 @@
 
 
 def measure_contracts():
-    """Memory and look-up of contracts, at an entry and a sidecar."""
+    """Measure memory and look-up of contracts at an entry and a sidecar."""
     held, versions, lookups, takes, bytes_sent = [], [], [], [], []
     all_versions = []
     for count in CONTRACTS:
         contracts = encoded_contracts(count)
         started_s = time.process_time()
         registry = make_registry(contracts)
-        takes.append((time.process_time() - started_s) * _US)
+        takes.append((time.process_time() - started_s) * _US_PER_S)
         bytes_sent.append(sum(map(len, contracts)))
         leaves = range(contract_versions.LEAF_COUNT)
         all_versions.append(
@@ -208,14 +208,14 @@
 
 
 def measure_membership():
-    """The list of instances: bytes, memory and time."""
+    """Measure bytes, memory and time of the list of instances."""
     sizes_bytes, held, times, filters = [], [], [], []
     for count in INSTANCES:
         raw = encode_list(1, make_instances(count))
         sizes_bytes.append(len(raw))
-        held.append(slopes.held_bytes(_member, raw))
-        times.append(slopes.least_us(1, _member, raw))
-        found = _member(raw)
+        held.append(slopes.held_bytes(_make_membership, raw))
+        times.append(slopes.least_us(1, _make_membership, raw))
+        found = _make_membership(raw)
         models = ['base-1'] * _PROBE_KEYS
         filters.append(
             slopes.least_us(
@@ -239,14 +239,14 @@
     return msgspec.json.encode(live_list.InstanceList(revision, instances))
 
 
-def _member(raw: bytes) -> membership.Membership:
+def _make_membership(raw: bytes) -> membership.Membership:
     found = membership.Membership(clock_module.SystemClock(), 'fleet')
     found.update(live_list.decode_list(raw))
     return found
 
 
 def measure_ranking():
-    """Rendezvous hashes over sidecars, and an entry's whole choice."""
+    """Measure rendezvous hashes, and an entry's whole selection."""
     ranks, votings, choices, requests = [], [], [], []
     for count in SIDECARS:
         members = make_instances(count, 0.0)
@@ -268,7 +268,7 @@
             slopes.least_us(
                 len(keys),
                 slopes.for_each,
-                _voters_of,
+                _select_voters,
                 keys,
                 voter.VoterIndex(same_region),
             )
@@ -285,38 +285,42 @@
         )
         requests.append(
             slopes.least_us(
-                len(keys), slopes.for_each, _place, keys, choice, members
+                len(keys), slopes.for_each, _select, keys, choice, members
             )
         )
     return [
-        slopes.Slope('placement.rank, by sidecars', 'us', SIDECARS, ranks),
-        slopes.Slope('voters_of, by sidecars', 'us', SIDECARS, votings),
         slopes.Slope(
-            'Placement.candidates, by sidecars', 'us', SIDECARS, choices
+            'placement.rank_by_hash, by sidecars', 'us', SIDECARS, ranks
+        ),
+        slopes.Slope('select_voters, by sidecars', 'us', SIDECARS, votings),
+        slopes.Slope(
+            'Placement.ranked_instances, by sidecars', 'us', SIDECARS, choices
+        ),
+        slopes.Slope(
+            'the same, with track_request and a hint', 'us', SIDECARS, requests
         ),
-        slopes.Slope('the same, sent, and its hint', 'us', SIDECARS, requests),
     ]
 
 
-def _place(
+def _select(
     key: str,
     choice: placement.Placement,
     members: tuple[live_list.Instance, ...],
 ) -> None:
-    """Choose for a request, and take over the hint on its answer."""
+    """Select an instance for a request, and apply the answer's hint."""
     name = choice.ranked_instances(key, members)[0].name
     with choice.track_request(key, name):
         choice.apply_hint_header(name, _HINT)
 
 
-def _voters_of(key: str, index: voter.VoterIndex) -> voter.VoterSet:
+def _select_voters(key: str, index: voter.VoterIndex) -> voter.VoterSet:
     return index.select_voters('customer', key, 'region-0')
 
 
 def measure_votes():
-    """Memory of the table of votes, and time of a vote."""
+    """Measure memory of the table of votes, and time of a vote."""
     members = make_instances(1, 0.0)
-    held = [slopes.held_bytes(_vote, members, count) for count in VOTES]
+    held = [slopes.held_bytes(_fill_voter, members, count) for count in VOTES]
     times = []
     for count in SIDECARS:
         fleet = tuple(
@@ -336,7 +340,9 @@
     ]
 
 
-def _vote(members: tuple[live_list.Instance, ...], count: int) -> voter.Voter:
+def _fill_voter(
+    members: tuple[live_list.Instance, ...], count: int
+) -> voter.Voter:
     return _vote_all(members, _vote_requests(members, count))
 
 
@@ -344,7 +350,7 @@
     members: tuple[live_list.Instance, ...],
     asks: Sequence[voter.VoteRequest],
 ) -> voter.Voter:
-    ahead = FixedClock()
+    ahead = OffsetClock()
     found = voter.Voter(
         members[0].name,
         ahead,
@@ -355,7 +361,7 @@
         max_votes=len(asks),
     )
     found.apply_list(members)
-    ahead.ahead_s = _AHEAD_S
+    ahead.offset_s = _CLOCK_OFFSET_S
     for ask in asks:
         assert found.vote(ask).verdict is voter.Verdict.GRANTED
     assert len(found) == len(asks)
@@ -366,7 +372,7 @@
     members: tuple[live_list.Instance, ...], count: int
 ) -> list[voter.VoteRequest]:
     index = voter.VoterIndex(members)
-    offset = int(1000 * _AHEAD_S) << 80
+    offset = int(1000 * _CLOCK_OFFSET_S) << 80
     made = [uuid.UUID(processes.new_key()).int for _ in range(count)]
     keys = [str(uuid.UUID(int=number + offset)) for number in made]
     found = []
@@ -388,16 +394,16 @@
 
 
 def measure_ledger():
-    """What a sidecar remembers of each attempt."""
-    held = [slopes.held_bytes(_run, count) for count in VOTES]
-    times = [slopes.least_us(1, _run, count) for count in VOTES]
+    """Measure memory and time of a sidecar's record of attempts."""
+    held = [slopes.held_bytes(_fill_ledger, count) for count in VOTES]
+    times = [slopes.least_us(1, _fill_ledger, count) for count in VOTES]
     return [
         slopes.Slope('attempt held in RunLedger', 'B', VOTES, held),
         slopes.Slope('attempt admitted, started, closed', 'us', VOTES, times),
     ]
 
 
-def _run(count: int) -> ledger.RunLedger:
+def _fill_ledger(count: int) -> ledger.RunLedger:
     found = ledger.RunLedger(clock_module.SystemClock())
     for _ in range(count):
         attempt = f'{processes.new_key()}.1'
@@ -408,7 +414,7 @@
 
 
 def count_answer(account: account_module.Account, number: int) -> None:
-    """Count one streamed answer of a customer."""
+    """Account for one streamed answer of a customer."""
     customer = make_contract(number)
     with account.track_request('id') as tally:
         account.identify(tally, customer)
@@ -419,7 +425,7 @@
 
 
 def make_row() -> account_rows.Row:
-    """Return the row of a customer of a few answers."""
+    """Return the row of a customer with a few answers."""
     account = _account(1, 6)
     return dict(account.rows.row('customer-00000'))
 
@@ -436,7 +442,7 @@
 
 
 def measure_account():
-    """Rows of the account, active and packed, and copied deltas."""
+    """Measure rows of the account, active and packed, and copied deltas."""
     row = make_row()
     active = [slopes.held_bytes(_rows, row, count, 0) for count in ROWS]
     packed = [slopes.held_bytes(_rows, row, count, 3) for count in ROWS]
@@ -489,7 +495,7 @@
 
 
 def measure_limits():
-    """Leases at holder and owner, and the bytes of an exchange."""
+    """Measure leases at holder and owner, and the bytes of an exchange."""
     leased = [slopes.held_bytes(_leased_limits, count) for count in ACTIVE]
     owning = []
     for count in ACTIVE:
@@ -506,7 +512,9 @@
         ask = _ask(held, 'entry-0001', next(numbers))
         size = len(signer.sign_short(ask)) + len(signer.sign_short(reply))
         sizes.append(size)
-        times.append(slopes.least_us(1, _renew, signer, owner, held, numbers))
+        times.append(
+            slopes.least_us(1, _exchange_leases, signer, owner, held, numbers)
+        )
     owners = []
     for count in ENTRIES:
         ownership = _ownership(count)
@@ -589,7 +597,7 @@
     return owner
 
 
-def _renew(signer, owner, held, numbers) -> None:
+def _exchange_leases(signer, owner, held, numbers) -> None:
     asked_s = clock_module.SystemClock().monotonic_s()
     data = signer.sign_short(_ask(held, 'entry-0001', next(numbers)))
     ask = signer.verify(data).decode(limit_lease.LeaseAsk)
@@ -600,13 +608,13 @@
 
 
 class Ping(link.Message, frozen=True):
-    """A message of some size."""
+    """A message of a given size."""
 
     data: bytes
 
 
 async def measure_link():
-    """One request and its reply over pynng, both ends in this process."""
+    """Measure a request and its reply over pynng, with both ends here."""
     signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
     server = link.ControlServer(signer)
 
@@ -620,7 +628,7 @@
         exits.push_async_callback(server.close)
         peer = link.Peer(signer, '127.0.0.1', server.port)
         exits.callback(peer.close)
-        # Sizes take turns, since the machine's speed drifts.
+        # Sizes alternate, since the speed of the machine changes with time.
         found = [
             [await _exchange_us(peer, size) for size in MESSAGE_BYTES]
             for _ in range(2 * slopes.REPEATS)
@@ -641,11 +649,14 @@
     started_s = time.process_time()
     for _ in range(_EXCHANGES):
         await peer.ask(message, Ping, 5.0)
-    return (time.process_time() - started_s) / _EXCHANGES * _US
+    return (time.process_time() - started_s) / _EXCHANGES * _US_PER_S
 
 
 async def measure_watch():
-    """Watches on the live list over HTTP, with the stand-in's own cost."""
+    """Measure watches of the live list over HTTP.
+
+    The cost of the platform's stand-in is included.
+    """
     idle, taken = [], []
     platform = standin_platform.StandinPlatform()
     async with contextlib.AsyncExitStack() as exits:
@@ -677,11 +688,11 @@
         for _ in range(count):
             await source.watch(after, 0.0)
         found.append(time.process_time() - started_s)
-    return min(found) / count * _US
+    return min(found) / count * _US_PER_S
 
 
 async def measure_directory():
-    """Adapters at their home."""
+    """Measure the directory entries of adapters at their home."""
     counts = (500, 1_000, 4_000, 8_000)
     held, times = [], []
     for count in counts:
@@ -693,7 +704,7 @@
         tracemalloc.stop()
         started_s = time.process_time()
         await _locate(home, count)
-        times.append((time.process_time() - started_s) * _US)
+        times.append((time.process_time() - started_s) * _US_PER_S)
     return [
         slopes.Slope('adapter at its home', 'B', counts, held),
         slopes.Slope(
@@ -713,7 +724,7 @@
 
 
 class _Wire:
-    """Counts messages between gossips, without a network."""
+    """Counts the messages of contract gossip, without a network."""
 
     def __init__(self) -> None:
         self.signer = link.MessageSigner('fleet', 'secret', 'entry-0001')
@@ -750,12 +761,12 @@
 
 
 async def measure_gossip():
-    """Messages of a round, and of a change, against the fleet's size."""
+    """Measure messages of a round and of a change, by the fleet's size."""
     rounds, round_bytes, changes, change_bytes, spread_s = [], [], [], [], []
     raw = encoded_contracts(100)
     for count in FLEETS:
         wire = _Wire()
-        members = _member(encode_list(1, make_instances(count)))
+        members = _make_membership(encode_list(1, make_instances(count)))
         gossips, registries = [], []
         for number, instance in enumerate(members.instances):
             registry = make_registry(raw)
@@ -803,11 +814,11 @@
 
 
 async def measure_permits():
-    """The store's permits at their keeper, by sidecars that wait."""
+    """Measure store permits at their issuer, by waiting sidecars."""
     held, times = [], []
-    for count in ASKING:
-        held.append(slopes.held_bytes(_issuer, count))
-        issuer = _issuer(count)
+    for count in WAITING_SIDECARS:
+        held.append(slopes.held_bytes(_make_issuer, count))
+        issuer = _make_issuer(count)
         asks = [_permit(number) for number in range(count)]
         repeats = max(1, _PROBE_KEYS // count)
         work = [a for _ in range(repeats) for a in asks]
@@ -816,34 +827,44 @@
         )
         issuer.close()
     return [
-        slopes.Slope('request for a permit, held', 'B', ASKING, held),
         slopes.Slope(
-            'request for a permit, by those waiting', 'us', ASKING, times
+            'request for a permit, held', 'B', WAITING_SIDECARS, held
+        ),
+        slopes.Slope(
+            'request for a permit, by those waiting',
+            'us',
+            WAITING_SIDECARS,
+            times,
         ),
     ]
 
 
-class _Queue:
-    """A keeper and its askers in virtual time, that counts the asks."""
+class _PermitQueue:
+    """A permit issuer with its requesters in virtual time.
+
+    It counts the requests.
+    """
 
     def __init__(self, store: settings.StoreSettings) -> None:
         self.clock = virtual_time.LoopClock()
         self.store = store
-        self.asks_count = 0
+        self.request_count = 0
         self.issuer = store_pacing.PermitIssuer(
             self.clock, store, self._notify
         )
         self._pacers: dict[str, store_pacing.StorePacer] = {}
 
-    async def load(self, asker: str) -> None:
-        """Wait for a permit, and use it for as long as the store bears."""
-        pacer = store_pacing.StorePacer(self.clock, self.store, self, asker)
-        self._pacers[asker] = pacer
+    async def load(self, requester: str) -> None:
+        """Wait for a permit, and hold it for 0.9 of one load's time."""
+        pacer = store_pacing.StorePacer(
+            self.clock, self.store, self, requester
+        )
+        self._pacers[requester] = pacer
         async with pacer.permit(lambda: 1.0):
             await asyncio.sleep(0.9 / self.store.loads_per_s)
 
     async def ask(self, request):
-        self.asks_count += 1
+        self.request_count += 1
         return self.issuer.ask(request)
 
     async def release(self, message):
@@ -852,23 +873,23 @@
     def sidecar_count(self):
         return len(self._pacers)
 
-    def _notify(self, asker, grant):
-        self._pacers[asker].apply_grant(grant)
+    def _notify(self, requester, grant):
+        self._pacers[requester].apply_grant(grant)
 
 
 async def _drain(count: int) -> tuple[float, float]:
     store = settings.StoreSettings(loads_per_s=_LOADS_PER_S, loads_at_once=1)
-    queue = _Queue(store)
+    queue = _PermitQueue(store)
     started_s = queue.clock.monotonic_s()
     await asyncio.gather(
         *(queue.load(f'sidecar-{number:04}') for number in range(count))
     )
     passed_s = queue.clock.monotonic_s() - started_s
-    return queue.asks_count / passed_s, queue.asks_count / count
+    return queue.request_count / passed_s, queue.request_count / count
 
 
 def show_queues() -> None:
-    """Print how often a keeper is asked while a queue of loads drains."""
+    """Print the rate of permit requests while a queue of loads drains."""
     for count in QUEUES:
         asks_per_s, asks = virtual_time.run(_drain(count))
         print(
@@ -884,11 +905,11 @@
     )
 
 
-def _issuer(count: int) -> store_pacing.PermitIssuer:
+def _make_issuer(count: int) -> store_pacing.PermitIssuer:
     issuer = store_pacing.PermitIssuer(
         clock_module.SystemClock(),
         settings.StoreSettings(),
-        lambda asker, grant: None,
+        lambda requester, grant: None,
     )
     for number in range(count):
         issuer.ask(_permit(number))
@@ -896,7 +917,7 @@
 
 
 def show_messages() -> None:
-    """Print the bytes of control messages, sealed, with their replies."""
+    """Print the bytes of signed control messages with their replies."""
     names = tuple(f'sidecar-{number:04}' for number in range(8))
     permit = _permit(1)
     permit_id = permit.permit_id
@@ -949,7 +970,7 @@
 
 
 async def show_processes() -> None:
-    """Print the memory of real processes that have nothing to do."""
+    """Print the memory of idle real processes."""
     with tempfile.TemporaryDirectory() as folder:
         async with processes.Deployment(pathlib.Path(folder)) as deployment:
             await deployment.add_engine()
@@ -964,7 +985,7 @@
 
 
 async def main() -> None:
-    """Print every line."""
+    """Print all results."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(50)
     )
--- a/benchmarks/capacity_platform.py
+++ b/benchmarks/capacity_platform.py
@@ -1,4 +1,4 @@
-"""Slopes of what an entry holds and computes on the users' platform.
+"""Memory and processor time of an entry on the users' platform, by size.
 
 Run ``make capacity-platform``.  Sizes go up to the target of 1,000
 engines.  Times are processor time, the least of a few runs.
@@ -30,7 +30,7 @@
 
 
 def make_server(number: int, adapters: int = SLOTS) -> bytes:
-    """Return an entry of the list, as the platform publishes it."""
+    """Return a value of the list of backend servers, as published."""
     listed = [f'a{(number * SLOTS + n) % 36_000}@1' for n in range(adapters)]
     model = {'name': _MODEL, 'version': 1, 'adapters': listed}
     entry = {
@@ -45,7 +45,7 @@
 
 
 def make_servers(count: int) -> list[backend_list.BackendServer]:
-    """Return the servers of a whole list."""
+    """Return the decoded servers of a whole list."""
     return [
         wire.decode_backend_server(f'i-{n}', make_server(n), n)
         for n in range(count)
@@ -53,7 +53,7 @@
 
 
 def make_instances(count: int) -> tuple[live_list.Instance, ...]:
-    """Return the same as placement takes them."""
+    """Return the same servers as instances for placement."""
     return tuple(
         live_list.Instance(
             name=f'i-{n}',
@@ -70,14 +70,14 @@
 
 
 def make_list(count: int) -> backend_list.BackendList:
-    """Return a list that knows so many servers."""
+    """Return a backend list with a number of servers."""
     found = backend_list.BackendList(clock_module.SystemClock())
     found.replace_all(make_servers(count))
     return found
 
 
 def make_placement(count: int) -> placement.Placement:
-    """Return a placement that knows what all engines hold."""
+    """Return a placement with the adapters and loads of all engines."""
     found = placement.Placement(
         clock_module.SystemClock(), settings.ObjectiveSettings(stall_weight=1)
     )
@@ -99,7 +99,7 @@
 
 
 def measure_list() -> list[slopes.Slope]:
-    """What the list of backend servers costs an entry."""
+    """Measure the costs of the list of backend servers at an entry."""
     held, taken, changed = [], [], []
     for count in ENGINES:
         held.append(slopes.held_bytes(make_list, count))
@@ -121,7 +121,7 @@
 
 
 def measure_placement() -> list[slopes.Slope]:
-    """What the choice of an engine costs an entry."""
+    """Measure the costs of selecting an engine at an entry."""
     held, chosen, listed = [], [], []
     keys = [f'{_MODEL}/a{number * 97 % 36_000}' for number in range(_KEYS)]
     random.Random(1).shuffle(keys)
@@ -130,18 +130,20 @@
         found = make_placement(count)
         instances = make_instances(count)
         found.ranked_instances(keys[0], instances)
-        choose = functools.partial(_choose, found, instances)
-        chosen.append(slopes.least_us(_KEYS, slopes.for_each, choose, keys))
+        select = functools.partial(_select, found, instances)
+        chosen.append(slopes.least_us(_KEYS, slopes.for_each, select, keys))
         servers = make_servers(count)
-        listed.append(slopes.least_us(count, _learn, found, servers))
+        listed.append(slopes.least_us(count, _apply_listed, found, servers))
     return [
         slopes.Slope('placement held at an entry', 'B', ENGINES, held),
-        slopes.Slope('candidates, for a request', 'us', ENGINES, chosen),
-        slopes.Slope('learn_listed, for a change', 'us', ENGINES, listed),
+        slopes.Slope('ranked_instances, for a request', 'us', ENGINES, chosen),
+        slopes.Slope(
+            'apply_listed_adapters, for a change', 'us', ENGINES, listed
+        ),
     ]
 
 
-def _choose(
+def _select(
     found: placement.Placement,
     instances: tuple[live_list.Instance, ...],
     key: str,
@@ -151,7 +153,7 @@
         pass
 
 
-def _learn(
+def _apply_listed(
     found: placement.Placement, servers: list[backend_list.BackendServer]
 ) -> None:
     for server in servers:
@@ -159,7 +161,7 @@
 
 
 def measure_state() -> list[slopes.Slope]:
-    """What an entry that starts while the store is away is sent."""
+    """Measure what peers send to an entry that starts without the store."""
     sizes = []
     for count in ENGINES:
         servers = tuple(
@@ -172,7 +174,7 @@
 
 
 def measure_messages() -> None:
-    """Print the size of what goes between an entry and a sidecar."""
+    """Print the sizes of the messages between an entry and a sidecar."""
     server = make_servers(1)[0]
     request = turn_messages.TurnRequest(
         entry='edge-zone-a-1',
@@ -198,13 +200,13 @@
         hint=_hint(server),
     )
     for message in (request, reply):
-        # Without the envelope and its signature, some 100 bytes.
+        # Without the envelope and its signature, about 100 bytes.
         size = len(msgspec.msgpack.encode(message))
         print(f'| {type(message).__name__} | {size} B |')
 
 
 def main() -> None:
-    """Print every line."""
+    """Print all results."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(50)
     )
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,14 +1,15 @@
-"""Ways to hold a customer's limit over all entries, under faults.
-
-The real decision objects run in virtual time on seeded arrivals.  Each
-way meets the same arrivals in the same scenario.  Two loads: *within*
-(70% of the rate, every arrival within the contract) and *over* (three
-times the rate).  The figures are
-
-- overshoot: requests above what one central bucket would have let by, at
-  the worst moment, as a ratio to the burst;
-- needless: refused arrivals of the load that is within the contract;
-- used: admitted of the load that is over, to what the contract allows.
+"""Strategies to enforce a customer's limit across entries, under faults.
+
+The product's classes run in virtual time on seeded arrivals, which are the
+same for all strategies in a scenario.  There are two loads: *within* (70%
+of the rate, every arrival within the contract) and *over* (three times the
+rate).  The figures are
+
+- overshoot: the largest number of admitted requests above what one central
+  token bucket would have admitted, as a ratio to the burst;
+- needless: the share of refused requests in the load within the contract;
+- used: admitted requests of the load over the contract, as a ratio to what
+  the contract allows.
 """
 
 import argparse
@@ -32,17 +33,17 @@
 from lacewingpitch import token_bucket
 from tests import lease_entries
 
-ENTRIES = 8
+ENTRY_COUNT = 8
 RATE_PER_S = 20.0
 BURST = 20
-RUN_S = 80.0
+DURATION_S = 80.0
 FAULT_S = 30.0
 CUSTOMER = 'haneul'
 
 
 @dataclasses.dataclass
 class Scenario:
-    """What fails, and where the balancer sends the requests."""
+    """A fault, and how the balancer distributes the requests."""
 
     name: str
     skew: float = 0.0
@@ -61,7 +62,7 @@
 
 
 class EqualSplit:
-    """Each entry admits its part, known from the list."""
+    """Each entry admits an equal share, by the number of listed entries."""
 
     def __init__(self, clock, entries):
         self._clock = clock
@@ -89,14 +90,14 @@
 
 
 class DemandSplit:
-    """Each entry admits by its part of the demand that all told of.
+    """Each entry admits its share of the demand that all entries report.
 
-    Every entry tells every other its demand each second, so messages
-    grow with the square of the entries.
+    Every entry reports its demand to every other one each second, so that
+    the messages grow with the square of the number of entries.
     """
 
     PERIOD_S = 1.0
-    FORGET_S = 3.0
+    MAX_REPORT_AGE_S = 3.0
 
     def __init__(self, clock, entries):
         self._clock = clock
@@ -110,43 +111,44 @@
             for name in entries.all
         }
         self._arrived = collections.Counter()
-        self._told = {name: {} for name in entries.all}
-        self._task = asyncio.create_task(self._tell())
+        self._reports = {name: {} for name in entries.all}
+        self._task = asyncio.create_task(self._report_demand())
 
-    async def _tell(self):
+    async def _report_demand(self):
         while True:
             await asyncio.sleep(self.PERIOD_S)
             for sender in self._entries.all:
-                if not self._runs(sender):
+                if not self._is_running(sender):
                     continue
-                self._tell_all(sender, self._arrived.pop(sender, 0))
+                self._send_demand(sender, self._arrived.pop(sender, 0))
             for name in self._entries.all:
-                if self._runs(name):
-                    self._split(name)
+                if self._is_running(name):
+                    self._update_share(name)
 
-    def _tell_all(self, sender, arrived):
+    def _send_demand(self, sender, arrived):
         now_s = self._clock.monotonic_s()
         for name in self._entries.all:
-            if (sender, name) not in self._entries.broken_links and self._runs(
-                name
-            ):
-                self._told[name][sender] = (now_s, arrived)
+            if (
+                sender,
+                name,
+            ) not in self._entries.broken_links and self._is_running(name):
+                self._reports[name][sender] = (now_s, arrived)
 
-    def _split(self, name):
+    def _update_share(self, name):
         now_s = self._clock.monotonic_s()
-        told = {
+        reports = {
             sender: arrived
-            for sender, (at_s, arrived) in self._told[name].items()
-            if now_s - at_s < self.FORGET_S
+            for sender, (at_s, arrived) in self._reports[name].items()
+            if now_s - at_s < self.MAX_REPORT_AGE_S
         }
-        least = 0.05 * max(1.0, sum(told.values())) / len(told)
-        total = sum(arrived + least for arrived in told.values())
-        ratio = (told.get(name, 0) + least) / total
+        least = 0.05 * max(1.0, sum(reports.values())) / len(reports)
+        total = sum(arrived + least for arrived in reports.values())
+        ratio = (reports.get(name, 0) + least) / total
         self._buckets[name].change(
             RATE_PER_S * ratio, max(1.0, BURST * ratio), now_s
         )
 
-    def _runs(self, name):
+    def _is_running(self, name):
         if name in self._entries.dead:
             return False
         return self._entries.all[name].awake.is_set()
@@ -165,7 +167,7 @@
 
 
 class Leases:
-    """The product's way: `lacewingpitch.customer_limits`."""
+    """The product's strategy: `lacewingpitch.customer_limits`."""
 
     def __init__(self, clock, entries):
         self._entries = entries
@@ -190,8 +192,8 @@
         pass
 
 
-class Envelope:
-    """What one central bucket would admit."""
+class ReferenceBucket:
+    """The central token bucket that admissions are compared with."""
 
     def __init__(self, now_s):
         self._bucket = token_bucket.TokenBucket(
@@ -207,17 +209,17 @@
         self.admitted += 1
         return True
 
-    def pass_through(self, now_s):
-        """Count an admitted request, also beyond what is there."""
+    def record_admission(self, now_s):
+        """Count an admitted request, even if the bucket is empty."""
         self._bucket.add(-1, now_s)
         self.worst = max(self.worst, -self._bucket.level(now_s))
 
 
 class Run:
-    """One way in one scenario under one load."""
+    """One strategy in one scenario under one load."""
 
-    def __init__(self, way, scenario, load, seed):
-        self._way = way
+    def __init__(self, strategy, scenario, load, seed):
+        self._strategy = strategy
         self._scenario = scenario
         self._load = load
         self._random = random.Random(seed)
@@ -227,54 +229,54 @@
 
     async def run(self):
         clock = virtual_time.LoopClock()
-        entries = lease_entries.Entries(clock, ENTRIES)
-        way = self._way(clock, entries)
+        entries = lease_entries.Entries(clock, ENTRY_COUNT)
+        strategy = self._strategy(clock, entries)
         self._entries = entries
         start_s = clock.monotonic_s()
-        self._given = Envelope(start_s)
-        self._ideal = Envelope(start_s)
-        faults = asyncio.create_task(self._fail())
+        self._admitted_bucket = ReferenceBucket(start_s)
+        self._reference = ReferenceBucket(start_s)
+        faults = asyncio.create_task(self._inject_fault())
         calls = []
-        while clock.monotonic_s() < start_s + RUN_S:
+        while clock.monotonic_s() < start_s + DURATION_S:
             gap = self._random.expovariate(RATE_PER_S * self._load)
             await asyncio.sleep(gap)
             now_s = clock.monotonic_s()
-            conforms = self._ideal.conforms(now_s)
+            conforms = self._reference.conforms(now_s)
             if self._load < 1 and not conforms:
                 continue
             self.offered += 1
-            call = self._call(clock, way, self._choose())
+            call = self._call(clock, strategy, self._choose_entry())
             calls.append(asyncio.create_task(call))
         await asyncio.gather(*calls)
         faults.cancel()
-        way.close()
+        strategy.close()
         entries.close()
         return self
 
-    def _choose(self):
+    def _choose_entry(self):
         entries = self._entries
         up = [
             name
             for name, entry in entries.all.items()
             if name not in entries.dead and entry.awake.is_set()
         ]
-        # The balancer takes a second to notice a frozen instance.
-        up += [n for n in getattr(self, 'unnoticed', ()) if n not in up]
+        # The balancer detects a frozen instance after a second.
+        up += [n for n in getattr(self, 'undetected', ()) if n not in up]
         owner = entries.owner_of(CUSTOMER).name
         skewed = [name for name in up if name != owner]
         if self._random.random() < self._scenario.skew:
             return skewed[0]
         return self._random.choice(up)
 
-    async def _call(self, clock, way, name):
+    async def _call(self, clock, strategy, name):
         await self._entries.all[name].awake.wait()
-        if await way.admit(name):
-            self._given.pass_through(clock.monotonic_s())
+        if await strategy.admit(name):
+            self._admitted_bucket.record_admission(clock.monotonic_s())
             self.admitted += 1
         else:
             self.refused += 1
 
-    async def _fail(self):
+    async def _inject_fault(self):
         await asyncio.sleep(FAULT_S)
         entries = self._entries
         owner = entries.owner_of(CUSTOMER).name
@@ -298,13 +300,13 @@
     async def _pause(self, owner, others):
         entries = self._entries
         entries.all[owner].awake.clear()
-        self.unnoticed = [owner]
+        self.undetected = [owner]
         await asyncio.sleep(1.0)
-        self.unnoticed = []
+        self.undetected = []
         await asyncio.sleep(4.0)
         entries.publish(others, to=others)
         await asyncio.sleep(10.0)
-        # It wakes with its old list, and learns of the new one later.
+        # It resumes with its old list, and gets the new one later.
         entries.all[owner].awake.set()
         await asyncio.sleep(1.0)
         entries.publish(others, to=[owner])
@@ -313,19 +315,19 @@
 
     @property
     def overshoot_ratio(self):
-        return max(0.0, self._given.worst) / BURST
+        return max(0.0, self._admitted_bucket.worst) / BURST
 
     @property
     def used_ratio(self):
-        return self.admitted / self._ideal.admitted
+        return self.admitted / self._reference.admitted
 
 
-def measure(way, scenario, seeds):
-    """Return worst overshoot, needless refusals and use over seeds."""
+def measure(strategy, scenario, seeds):
+    """Return the worst overshoot, needless refusals and use over seeds."""
     overshoot = needless = offered = used = 0.0
     for seed in seeds:
-        within = virtual_time.run(Run(way, scenario, 0.7, seed).run())
-        over = virtual_time.run(Run(way, scenario, 3.0, seed).run())
+        within = virtual_time.run(Run(strategy, scenario, 0.7, seed).run())
+        over = virtual_time.run(Run(strategy, scenario, 3.0, seed).run())
         overshoot = max(
             overshoot, over.overshoot_ratio, within.overshoot_ratio
         )
@@ -335,13 +337,13 @@
     return overshoot, needless / offered, used
 
 
-PLACES = 40
-RUN_MEAN_S = 2.0
-QUEUE = 16
+PLACE_COUNT = 40
+CALL_DURATION_S = 2.0
+MAX_QUEUED = 16
 
 
 class LeasedPlaces(Leases):
-    """Places of leases, with calls that run for a while."""
+    """Leased concurrency slots (places), with calls that hold them."""
 
     def __init__(self, clock, entries):
         self._entries = entries
@@ -350,8 +352,8 @@
             CUSTOMER,
             requests_per_s=1e6,
             burst_requests=10**6,
-            concurrent_requests=PLACES,
-            queued_requests=QUEUE,
+            concurrent_requests=PLACE_COUNT,
+            queued_requests=MAX_QUEUED,
             tokens_per_s=1e9,
         )
 
@@ -365,22 +367,22 @@
             return False
 
     async def hold(self):
-        """Run for a while, and count those that run at once."""
+        """Run for a while, and record the largest number of running calls."""
         self.running += 1
         self.most = max(self.most, self.running)
-        await asyncio.sleep(RUN_MEAN_S)
+        await asyncio.sleep(CALL_DURATION_S)
         self.running -= 1
 
 
 class SplitPlaces(LeasedPlaces):
-    """Each entry has its part of the places."""
+    """Each entry has an equal share of the places."""
 
     def __init__(self, clock, entries):
         super().__init__(clock, entries)
         self._held = collections.Counter()
 
     async def admit(self, name):
-        if self._held[name] >= PLACES // ENTRIES:
+        if self._held[name] >= PLACE_COUNT // ENTRY_COUNT:
             return False
         self._held[name] += 1
         with contextlib.ExitStack() as held:
@@ -390,47 +392,53 @@
 
 
 class PlacesRun(Run):
-    """The same faults, on places that are held."""
+    """The same faults, with calls that hold places."""
 
     async def run(self):
         clock = virtual_time.LoopClock()
-        entries = self._entries = lease_entries.Entries(clock, ENTRIES)
-        self._given = Envelope(0.0)
-        way = self._way(clock, entries)
-        # A new owner leases shares of the places until it has settled.
+        entries = self._entries = lease_entries.Entries(clock, ENTRY_COUNT)
+        self._admitted_bucket = ReferenceBucket(0.0)
+        strategy = self._strategy(clock, entries)
+        # For its first lease duration, a new owner leases only shares of the
+        # places.
         await asyncio.sleep(limit_lease.LEASE_DURATION_S + 1)
-        faults = asyncio.create_task(self._fail())
+        faults = asyncio.create_task(self._inject_fault())
         calls = []
-        until_s = clock.monotonic_s() + RUN_S
-        rate_per_s = PLACES / RUN_MEAN_S * self._load
+        until_s = clock.monotonic_s() + DURATION_S
+        rate_per_s = PLACE_COUNT / CALL_DURATION_S * self._load
         while clock.monotonic_s() < until_s:
             await asyncio.sleep(self._random.expovariate(rate_per_s))
-            if self._load < 1 and way.running >= PLACES:
+            if self._load < 1 and strategy.running >= PLACE_COUNT:
                 continue
             self.offered += 1
-            call = self._call(clock, way, self._choose())
+            call = self._call(clock, strategy, self._choose_entry())
             calls.append(asyncio.create_task(call))
         await asyncio.gather(*calls)
         faults.cancel()
         entries.close()
-        self.most = way.most
+        self.most = strategy.most
         return self
 
 
-def measure_places(way, scenario, seeds):
-    """Return most places at once, to the limit, and needless refusals."""
+def measure_places(strategy, scenario, seeds):
+    """Return the most places in use, relative to the limit, and refusals.
+
+    The refusals are those of the load within the limit.
+    """
     most = refused = offered = 0
     for seed in seeds:
-        within = virtual_time.run(PlacesRun(way, scenario, 0.7, seed).run())
-        over = virtual_time.run(PlacesRun(way, scenario, 3.0, seed).run())
+        within = virtual_time.run(
+            PlacesRun(strategy, scenario, 0.7, seed).run()
+        )
+        over = virtual_time.run(PlacesRun(strategy, scenario, 3.0, seed).run())
         most = max(most, within.most, over.most)
         refused += within.refused
         offered += within.offered
-    return most / PLACES, refused / offered
+    return most / PLACE_COUNT, refused / offered
 
 
 class CountingLink:
-    """Counts the bytes and the time of sealing and opening messages."""
+    """Counts messages and their signed bytes."""
 
     def __init__(self, entries):
         self._entries = entries
@@ -444,7 +452,7 @@
 
 
 def large_limits(_rate_per_s):
-    """Return limits far above what any customer uses."""
+    """Return limits far above the usage of any customer."""
     return {
         'requests_per_s': 400.0,
         'burst_requests': 400,
@@ -453,25 +461,33 @@
 
 
 def fitted_limits(rate_per_s):
-    """Return limits of three times what a customer uses, ten at least."""
+    """Return limits of three times a customer's usage, ten at least.
+
+    The rate has a minimum of one request per second.
+    """
     return {
         'requests_per_s': max(1.0, 3 * rate_per_s),
         'burst_requests': math.ceil(max(10.0, 3 * rate_per_s)),
-        'concurrent_requests': math.ceil(max(10.0, 3 * rate_per_s * CALL_S)),
+        'concurrent_requests': math.ceil(
+            max(10.0, 3 * rate_per_s * COST_CALL_DURATION_S)
+        ),
     }
 
 
 async def measure_cost(
     entry_count, requests_per_s, customers, run_s, limits_of=large_limits
 ):
-    """Return messages and bytes a node and second at one size."""
+    """Return exchanges, bytes, held and owned limits per entry, and refusals.
+
+    Exchanges and bytes are per second; refusals are a share of the calls.
+    """
     clock = virtual_time.LoopClock()
     entries = lease_entries.Entries(clock, entry_count)
     counting = CountingLink(entries)
-    reach = entries.reach
+    owner_link = entries.reach
 
     async def counted(sender, owner):
-        granter = await reach(sender, owner)
+        granter = await owner_link(sender, owner)
         return _CountedGranter(granter, counting)
 
     entries.reach = counted
@@ -487,7 +503,7 @@
     ]
     chooser = random.Random(1)
     names = list(entries.all)
-    total = int(requests_per_s * (run_s + WARM_S))
+    total = int(requests_per_s * (run_s + WARM_UP_S))
     chosen = chooser.choices(contracts, weights, k=total)
     calls = []
     refused = 0
@@ -497,13 +513,13 @@
         entry = entries.all[chooser.choice(names)]
         try:
             async with entry.limits.admit(contract, 250) as admitted:
-                await asyncio.sleep(CALL_S)
+                await asyncio.sleep(COST_CALL_DURATION_S)
                 admitted.used_tokens = 250
         except errors.RefusalError:
             refused += 1
 
     for number, contract in enumerate(chosen):
-        if number == int(requests_per_s * WARM_S):
+        if number == int(requests_per_s * WARM_UP_S):
             counting.bytes = counting.messages = 0
         await asyncio.sleep(1 / requests_per_s)
         calls.append(asyncio.create_task(call(contract)))
@@ -518,8 +534,8 @@
     return exchanges, sent, held, owned, refused / total
 
 
-WARM_S = 12.0
-CALL_S = 10.0
+WARM_UP_S = 12.0
+COST_CALL_DURATION_S = 10.0
 
 
 class _CountedGranter:
@@ -538,7 +554,7 @@
 
 
 def measure_message(wants, rounds=300):
-    """Return bytes and microseconds of one exchange, both ends."""
+    """Return the bytes and the microseconds of one exchange, at both ends."""
     signer = link.MessageSigner('bench', 'secret' * 8, 'entry')
     entries = [f'customer-{number}' for number in range(wants)]
     ask = limit_lease.LeaseAsk(
@@ -565,18 +581,18 @@
 
 
 def print_rates(console, seeds):
-    """Print how the ways hold a rate."""
+    """Print how each strategy enforces a rate."""
     table = rich.table.Table(
-        title=f'{ENTRIES} entries, {RATE_PER_S}/s, burst {BURST}'
+        title=f'{ENTRY_COUNT} entries, {RATE_PER_S}/s, burst {BURST}'
     )
-    for column in ('scenario', 'way', 'overshoot', 'needless', 'used'):
+    for column in ('scenario', 'strategy', 'overshoot', 'needless', 'used'):
         table.add_column(column)
     for scenario in SCENARIOS:
-        for way in (EqualSplit, DemandSplit, Leases):
-            overshoot, needless, used = measure(way, scenario, seeds)
+        for strategy in (EqualSplit, DemandSplit, Leases):
+            overshoot, needless, used = measure(strategy, scenario, seeds)
             table.add_row(
                 scenario.name,
-                way.__name__,
+                strategy.__name__,
                 f'{overshoot:.2f}',
                 f'{needless:.2%}',
                 f'{used:.2f}',
@@ -585,21 +601,26 @@
 
 
 def print_places(console, seeds):
-    """Print how the ways hold a number of places."""
-    table = rich.table.Table(title=f'{ENTRIES} entries, {PLACES} places')
-    for column in ('scenario', 'way', 'most at once', 'needless'):
+    """Print how each strategy enforces a number of places."""
+    table = rich.table.Table(
+        title=f'{ENTRY_COUNT} entries, {PLACE_COUNT} places'
+    )
+    for column in ('scenario', 'strategy', 'most at once', 'needless'):
         table.add_column(column)
     for scenario in SCENARIOS:
-        for way in (SplitPlaces, LeasedPlaces):
-            most, needless = measure_places(way, scenario, seeds)
+        for strategy in (SplitPlaces, LeasedPlaces):
+            most, needless = measure_places(strategy, scenario, seeds)
             table.add_row(
-                scenario.name, way.__name__, f'{most:.2f}', f'{needless:.2%}'
+                scenario.name,
+                strategy.__name__,
+                f'{most:.2f}',
+                f'{needless:.2%}',
             )
     console.print(table)
 
 
 def print_cost(console):
-    """Print what messages cost."""
+    """Print the costs of messages."""
     table = rich.table.Table(title='one exchange, without the transport')
     for column in ('customers', 'bytes', 'us'):
         table.add_column(column)
--- a/benchmarks/order.py
+++ b/benchmarks/order.py
@@ -1,7 +1,7 @@
-"""Who goes first: orders of turns, and turns against adapter slots.
+"""Queue disciplines for turns, and strategies for turns and adapter slots.
 
 Run ``python -m benchmarks.order`` (``--seeds 3`` for more seeds).  The
-real queue, orders and adapter slots run in virtual time against a
+real queue, disciplines and adapter slots run in virtual time with a
 stand-in engine; figures are means over the seeds.
 """
 
@@ -15,7 +15,7 @@
 
 import click
 
-from benchmarks import order_rivals
+from benchmarks import order_baselines
 from benchmarks import virtual_time
 from lacewingpitch import contract
 from lacewingpitch import errors
@@ -27,7 +27,7 @@
 
 TURN_COUNT = 8
 TOKEN_S = 0.02
-RUN_S = 120.0
+DURATION_S = 120.0
 SLOT_COUNT = 4
 MAX_QUEUED = 1024
 CAPACITY_TOKENS_PER_S = TURN_COUNT / TOKEN_S
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass
 class Customer:
-    """One customer's demand, `load` being a share of the capacity."""
+    """One customer's demand; `load` is a share of the capacity."""
 
     name: str
     load: float
@@ -124,7 +124,7 @@
 
 @dataclasses.dataclass
 class Request:
-    """One request and what became of it."""
+    """One request and its outcome."""
 
     customer: Customer
     order: work.WorkOrder
@@ -142,11 +142,11 @@
     for customer in customers:
         rate = customer.load * CAPACITY_TOKENS_PER_S / customer.tokens
         at_s = rng.expovariate(rate)
-        while at_s < RUN_S:
+        while at_s < DURATION_S:
             found.append(_request(customer, at_s, rng))
             at_s += rng.expovariate(rate)
         for _ in range(customer.burst_count):
-            found.append(_request(customer, RUN_S / 4, rng))
+            found.append(_request(customer, DURATION_S / 4, rng))
     found.sort(key=lambda request: request.at_s)
     return found
 
@@ -180,7 +180,7 @@
 
 
 class Semaphore:
-    """What the queue replaces: FIFO, and waiting until the deadline."""
+    """A plain semaphore: FIFO, with waits until the deadline."""
 
     def __init__(self):
         self._semaphore = asyncio.Semaphore(TURN_COUNT)
@@ -195,11 +195,15 @@
             yield
 
 
-def queue_of(make_order, lookahead_count=0):
+def queue_factory(make_discipline, lookahead_count=0):
     def make():
         clock = virtual_time.LoopClock()
         return turn_queue.TurnQueue(
-            TURN_COUNT, lookahead_count, MAX_QUEUED, make_order(clock), clock
+            TURN_COUNT,
+            lookahead_count,
+            MAX_QUEUED,
+            make_discipline(clock),
+            clock,
         )
 
     return make
@@ -214,7 +218,7 @@
 
 
 def fair(leads_s, **fields):
-    return queue_of(
+    return queue_factory(
         lambda clock: fair_queue.FairQueue(
             TURN_COUNT, lambda order: True, clock, leads_s, **fields
         )
@@ -222,28 +226,30 @@
 
 
 POLICIES = {
-    'fifo': queue_of(lambda clock: order_rivals.FifoOrder()),
+    'fifo': queue_factory(lambda clock: order_baselines.FifoQueue()),
     'semaphore': Semaphore,
-    'urgency': queue_of(lambda clock: order_rivals.UrgencyOrder()),
-    'urgency+aging': queue_of(lambda clock: order_rivals.UrgencyOrder(5.0)),
+    'urgency': queue_factory(lambda clock: order_baselines.UrgencyQueue()),
+    'urgency+aging': queue_factory(
+        lambda clock: order_baselines.UrgencyQueue(5.0)
+    ),
     'fair': fair(no_leads()),
     'fair+lead/4': fair(leads(0.25)),
     'fair+lead': fair(leads(1.0)),
     'fair+lead, aging 0.5': fair(leads(1.0), aging_ratio=0.5),
     'fair+lead, no aging': fair(leads(1.0), aging_ratio=2.0),
-    'deficit': queue_of(
-        lambda clock: order_rivals.DeficitOrder(clock, TURN_COUNT)
+    'deficit': queue_factory(
+        lambda clock: order_baselines.DeficitQueue(clock, TURN_COUNT)
     ),
-    'deficit, weight': queue_of(
-        lambda clock: order_rivals.DeficitOrder(
+    'deficit, weight': queue_factory(
+        lambda clock: order_baselines.DeficitQueue(
             clock, TURN_COUNT, doubles=False
         )
     ),
 }
 
 
-async def drive(requests, make_gate, make_run):
-    """Send the requests and return how long it took."""
+async def send_requests(requests, make_gate, make_run):
+    """Send the requests; return the virtual time when all have ended."""
     gate = make_gate()
     loop = asyncio.get_running_loop()
     async with asyncio.TaskGroup() as tasks:
@@ -270,19 +276,21 @@
 
 
 class TurnsOnly:
-    """Requests that need a turn and nothing else."""
+    """Requests that need only a turn."""
 
     async def prepare(self, held, gate, request):
-        place = await held.enter_async_context(gate.reserve(request.order))
-        await held.enter_async_context(place.turn())
+        reservation = await held.enter_async_context(
+            gate.reserve(request.order)
+        )
+        await held.enter_async_context(reservation.turn())
 
     async def work(self, request):
         await asyncio.sleep(request.tokens * TOKEN_S)
 
 
-def entitlements(requests):
-    """Return what each customer would get from ideal sharing, in tokens."""
-    left = CAPACITY_TOKENS_PER_S * RUN_S
+def fair_shares(requests):
+    """Return each customer's tokens under max-min fair sharing."""
+    left = CAPACITY_TOKENS_PER_S * DURATION_S
     demand = collections.Counter()
     weight = {}
     for request in requests:
@@ -290,13 +298,15 @@
         weight[request.customer.name] = request.customer.weight
     found = {}
     for name in sorted(demand, key=lambda n: demand[n] / weight[n]):
-        found[name] = min(demand[name], left * weight[name] / sum_(weight))
+        found[name] = min(
+            demand[name], left * weight[name] / total_weight(weight)
+        )
         left -= found[name]
         del weight[name]
     return found
 
 
-def sum_(weight):
+def total_weight(weight):
     return sum(weight.values())
 
 
@@ -309,7 +319,7 @@
     return values[min(len(values) - 1, int(ratio * len(values)))]
 
 
-def waits(requests, urgency):
+def waits_of_urgency(requests, urgency):
     return [
         r.wait_s
         for r in requests
@@ -318,12 +328,12 @@
 
 
 def measure(requests):
-    """Return one row of figures."""
+    """Return the figures of one run, by name."""
     served = collections.Counter()
     for request in requests:
         if request.wait_s is not None:
             served[request.customer.name] += request.tokens
-    ideal = entitlements(requests)
+    ideal = fair_shares(requests)
     refused = [r for r in requests if r.refused_after_s is not None]
     late = [r for r in refused if r.kind is not errors.ErrorKind.QUEUE_FULL]
     row = {
@@ -342,10 +352,11 @@
         'longest wait': max(
             (r.wait_s for r in requests if r.wait_s is not None), default=0.0
         ),
-        'turn use': sum(map(used_in_run_s, requests)) / (RUN_S * TURN_COUNT),
+        'turn use': sum(map(turn_time_in_run_s, requests))
+        / (DURATION_S * TURN_COUNT),
     }
     for urgency in Urgency:
-        found = waits(requests, urgency)
+        found = waits_of_urgency(requests, urgency)
         for ratio in (0.5, 0.95, 0.99):
             if found:
                 label = f'{urgency.value[:4]} p{round(100 * ratio)}'
@@ -353,12 +364,12 @@
     return row
 
 
-def used_in_run_s(request):
+def turn_time_in_run_s(request):
     if request.wait_s is None:
         return 0.0
     started_s = request.at_s + request.wait_s
     ended_s = started_s + request.tokens * TOKEN_S
-    return max(0.0, min(ended_s, RUN_S) - started_s)
+    return max(0.0, min(ended_s, DURATION_S) - started_s)
 
 
 def mean_row(rows):
@@ -369,13 +380,15 @@
     rows = []
     for seed in range(seeds):
         requests = make_requests(workload(), seed)
-        virtual_time.run(drive(requests, POLICIES[policy], TurnsOnly()))
+        virtual_time.run(
+            send_requests(requests, POLICIES[policy], TurnsOnly())
+        )
         rows.append(measure(requests))
     return mean_row(rows)
 
 
 class SlowStore:
-    """An engine that loads one adapter at a time, with no failures."""
+    """An engine with a constant load time, which never fails."""
 
     load_s = 0.5
 
@@ -386,7 +399,7 @@
         pass
 
 
-class WithSlots:
+class TurnsAndSlots:
     """Requests that need a turn and an adapter."""
 
     def __init__(self, *, adapter_first=False):
@@ -403,10 +416,12 @@
     async def prepare(self, held, gate, request):
         if self._adapter_first:
             await self._hold(held, request)
-        place = await held.enter_async_context(gate.reserve(request.order))
+        reservation = await held.enter_async_context(
+            gate.reserve(request.order)
+        )
         if not self._adapter_first:
             await self._hold(held, request)
-        await held.enter_async_context(place.turn())
+        await held.enter_async_context(reservation.turn())
 
     async def _hold(self, held, request):
         loop = asyncio.get_running_loop()
@@ -424,31 +439,33 @@
 
 
 @dataclasses.dataclass
-class Way:
-    """One way to combine turns and adapter slots."""
+class Strategy:
+    """One strategy to combine turns and adapter slots."""
 
     lookahead: int = 0
     adapter_first: bool = False
     held_lead_s: float = 0.0
 
 
-WAYS = {
-    'adapter first': Way(adapter_first=True),
-    'turn first': Way(),
-    'turn first, 8 ahead': Way(8),
-    'held lead 1 s': Way(held_lead_s=1.0),
-    'held lead 1 s, 4 ahead': Way(4, held_lead_s=1.0),
-    'held lead 1 s, 8 ahead': Way(8, held_lead_s=1.0),
-    'held lead 1 s, 16 ahead': Way(16, held_lead_s=1.0),
-    'held lead 4 s, 8 ahead': Way(8, held_lead_s=4.0),
+STRATEGIES = {
+    'adapter first': Strategy(adapter_first=True),
+    'turn first': Strategy(),
+    'turn first, 8 ahead': Strategy(8),
+    'held lead 1 s': Strategy(held_lead_s=1.0),
+    'held lead 1 s, 4 ahead': Strategy(4, held_lead_s=1.0),
+    'held lead 1 s, 8 ahead': Strategy(8, held_lead_s=1.0),
+    'held lead 1 s, 16 ahead': Strategy(16, held_lead_s=1.0),
+    'held lead 4 s, 8 ahead': Strategy(8, held_lead_s=4.0),
 }
 
 
-def slots_row(way, seeds):
+def slots_row(strategy, seeds):
     rows = []
     for seed in range(seeds):
         requests = make_requests(adapters(), seed)
-        run, took_s = virtual_time.run(drive_slots(way, requests))
+        run, took_s = virtual_time.run(
+            send_requests_with_slots(strategy, requests)
+        )
         served = [r for r in requests if r.wait_s is not None]
         row = measure(requests)
         row['batch efficiency'] = run.busy_s / (took_s * TURN_COUNT)
@@ -457,19 +474,21 @@
     return mean_row(rows)
 
 
-async def drive_slots(way, requests):
-    run = WithSlots(adapter_first=way.adapter_first)
+async def send_requests_with_slots(strategy, requests):
+    run = TurnsAndSlots(adapter_first=strategy.adapter_first)
 
-    def make_order(clock):
+    def make_discipline(clock):
         return fair_queue.FairQueue(
-            TURN_COUNT, run.holds, clock, held_lead_s=way.held_lead_s
+            TURN_COUNT, run.holds, clock, held_lead_s=strategy.held_lead_s
         )
 
-    return run, await drive(requests, queue_of(make_order, way.lookahead), run)
+    return run, await send_requests(
+        requests, queue_factory(make_discipline, strategy.lookahead), run
+    )
 
 
 def print_table(title, rows, base):
-    """Print rows as Markdown: figures of `base`, ratios to it below."""
+    """Print a Markdown table: figures of `base`, and ratios to them."""
     names = list(rows[base])
     click.echo(f'\n### {title}\n')
     click.echo('| policy | ' + ' | '.join(names) + ' |')
@@ -487,11 +506,11 @@
         click.echo(f'| {policy} | ' + ' | '.join(cells) + ' |')
 
 
-class Idle:
-    """Measures what the queue itself costs, in real time."""
+class QueueCost:
+    """Measures the cost of the queue itself, in real time."""
 
     @staticmethod
-    async def arrivals(waiting):
+    async def measure(waiting):
         clock = virtual_time.LoopClock()
         order = fair_queue.FairQueue(TURN_COUNT, lambda order: True, clock)
         queue = turn_queue.TurnQueue(TURN_COUNT, 0, 4096, order, clock)
@@ -502,7 +521,7 @@
             order = _request(
                 dataclasses.replace(customer, name=f'c{number % 64}'), 0, rng
             ).order
-            async with queue.reserve(order) as place, place.turn():
+            async with queue.reserve(order) as reservation, reservation.turn():
                 await asyncio.Event().wait()
 
         tasks = [
@@ -543,7 +562,10 @@
         rows = {p: order_row(workload, p, seeds) for p in POLICIES}
         print_table(workload.__name__, rows, 'fifo')
     if only in ('', 'slots'):
-        rows = {name: slots_row(way, seeds) for name, way in WAYS.items()}
+        rows = {
+            name: slots_row(strategy, seeds)
+            for name, strategy in STRATEGIES.items()
+        }
         print_table('turns and adapter slots', rows, 'adapter first')
     if only in ('', 'cost'):
         print_cost()
@@ -554,7 +576,7 @@
     click.echo('| waiting | arrival | refusal in a flood | recheck |')
     click.echo('| ---: | ---: | ---: | ---: |')
     for waiting in (32, 256, 1024):
-        found = virtual_time.run(Idle.arrivals(waiting))
+        found = virtual_time.run(QueueCost.measure(waiting))
         cells = ' | '.join(f'{1e6 * cost_s:.0f}' for cost_s in found)
         click.echo(f'| {waiting} | {cells} |')
 
--- a/benchmarks/order_rivals.py
+++ b/benchmarks/order_baselines.py
@@ -1,4 +1,4 @@
-"""Orders that `FairQueue` is measured against."""
+"""Queue disciplines that `FairQueue` is compared with."""
 
 import collections
 
@@ -11,7 +11,7 @@
 }
 
 
-class FifoOrder:
+class FifoQueue:
     """First come, first served."""
 
     def __init__(self):
@@ -35,10 +35,10 @@
         return iter(tuple(self._waiting))
 
 
-class UrgencyOrder(FifoOrder):
+class UrgencyQueue(FifoQueue):
     """Strict priority by urgency, optionally with aging.
 
-    A request goes up one urgency for each `aging_s` that it waits.
+    A request rises by one urgency for each `aging_s` that it waits.
     """
 
     def __init__(self, aging_s=float('inf')):
@@ -54,19 +54,19 @@
         return iter(sorted(self._waiting, key=self._key))
 
     def _key(self, waiter):
-        # Both age alike, so that the order of two never changes.
+        # All requests age equally, so that their order never changes.
         rank = RANKS[waiter.order.urgency]
         if self._aging_s == float('inf'):
             return rank, waiter.arrived_s
         return rank * self._aging_s + waiter.arrived_s, 0
 
 
-class DeficitOrder:
-    """The Hadoop fair scheduler's deficits, a customer being a pool.
+class DeficitQueue:
+    """The deficits of Hadoop's fair scheduler, with customers as pools.
 
-    A customer's deficit is the machine time that it should have had
-    less what it had; the highest goes first.  A level of urgency
-    doubles the weight.
+    A customer's deficit is its fair share of machine time minus the time
+    that it got; the customer with the highest deficit is next.  With
+    `doubles`, each level of urgency doubles the weight.
     """
 
     def __init__(self, clock, turn_count, *, doubles=True):
@@ -89,13 +89,13 @@
 
     def remove(self, waiter):
         self._update()
-        self._drop(waiter)
+        self._discard(waiter)
 
     def pop(self):
         self._update()
         customer = max(self._waiting, key=lambda c: self._deficits_s[c])
         waiter = next(iter(self._waiting[customer]))
-        self._drop(waiter)
+        self._discard(waiter)
         self._running[customer] += 1
         return waiter
 
@@ -107,8 +107,8 @@
             del self._running[customer]
 
     def forecast(self):
-        # Deficits move as turns are given; this spreads the turns by
-        # weight, beginning with the highest deficit.
+        # Deficits change as turns are granted; this approximation spreads
+        # the turns by weight, beginning with the highest deficit.
         heads = []
         for customer, queue in self._waiting.items():
             position_s = -self._deficits_s[customer]
@@ -118,7 +118,7 @@
         heads.sort(key=lambda head: head[:2])
         return iter([head[2] for head in heads])
 
-    def _drop(self, waiter):
+    def _discard(self, waiter):
         customer = waiter.order.customer
         del self._waiting[customer][waiter]
         if not self._waiting[customer]:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,7 +1,7 @@
-"""What the path costs: through entry and sidecar against the engine alone.
+"""Costs of the path through entry and sidecar, against the engine alone.
 
-Run ``python -m benchmarks.path`` (``make bench``).  Both ways are measured
-in one run, with real processes, and every time is also given as a ratio.
+Run ``python -m benchmarks.path`` (``make bench``).  Both routes are measured
+in one run, with real processes, and differences are also given as ratios.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
 ENGINE_COUNT = 8
 TOKENS_PER_ANSWER = 243
 TOKEN_S = 0.02
-SHARE_REQUESTS_PER_S = 14.0
+ENTRY_REQUESTS_PER_S = 14.0
 WARM_UP_S = 4.0
 ADAPTERS = tuple(f'adapter-{number}' for number in range(16))
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Where a load goes, and as whom."""
+    """The URLs, models and headers of a load's requests."""
 
     urls: tuple[str, ...]
     models: tuple[str, ...]
@@ -42,7 +42,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """A constant rate of streamed completions for a while."""
+    """Streamed completions at a constant rate for a time."""
 
     target: Target
     requests_per_s: float
@@ -51,7 +51,7 @@
 
 
 class Times(msgspec.Struct):
-    """What one load generator saw, in seconds."""
+    """Times that load generators measured, in seconds."""
 
     first_token_s: list[float]
     gap_s: list[float]
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """What to measure."""
+    """Options of the measurement."""
 
     duration_s: float
     scales: tuple[float, ...]
@@ -134,7 +134,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What a process used while a load ran."""
+    """The resources that a process used during a load."""
 
     used_s: float
     system_s: float
@@ -144,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """One load on one way."""
+    """Times and costs of one load on one route."""
 
     times: Times
     costs: dict[str, Cost]
@@ -153,7 +153,7 @@
         return float(numpy.percentile(values, q)) * 1000 if values else 0.0
 
 
-async def measure(load, watched, generator_count, folder):
+async def measure(load, processes_by_name, generator_count, folder):
     """Run a load from several processes; return times and costs."""
     share = msgspec.structs.replace(
         load, requests_per_s=load.requests_per_s / generator_count
@@ -171,15 +171,15 @@
         )
         for output in outputs
     ]
-    before = {n: _cpu_times(p) for n, p in watched.items()}
+    before = {n: _cpu_times(p) for n, p in processes_by_name.items()}
     await asyncio.sleep(WARM_UP_S)
-    warm = {n: _cpu_times(p) for n, p in watched.items()}
+    warm = {n: _cpu_times(p) for n, p in processes_by_name.items()}
     started_s = time.monotonic()
     await asyncio.sleep(load.duration_s - WARM_UP_S)
     elapsed_s = time.monotonic() - started_s
     cores = {
         n: _used_s(warm[n], _cpu_times(p)) / elapsed_s
-        for n, p in watched.items()
+        for n, p in processes_by_name.items()
     }
     times = Times([], [])
     for process, output in zip(running, outputs, strict=True):
@@ -188,11 +188,11 @@
         times.first_token_s += part.first_token_s
         times.gap_s += part.gap_s
         times.failed += part.failed
-    # The cost of a token is that of the whole run, in which all tokens
-    # went through, however late.
+    # The cost of a token comes from the whole run, since tokens that are
+    # late pass after the measured interval.
     costs = {
         name: _cost(process, before[name], cores[name])
-        for name, process in watched.items()
+        for name, process in processes_by_name.items()
     }
     return Result(times, costs)
 
@@ -216,7 +216,7 @@
 
 
 async def build(deployment, against):
-    """Start engines of one model each, so that all get the same load.
+    """Start engines with one model each, so that all get the same load.
 
     With `against`, every second sidecar and a second entry run the code
     of that folder.
@@ -262,11 +262,11 @@
             assert response.status == 200
 
 
-def targets(deployment, relays):
-    """Return the ways by name."""
+def make_targets(deployment, relays):
+    """Return the targets by the names of the routes."""
     path = '/v1/chat/completions'
     key = deployment.keys['bench']
-    ways = {
+    targets_by_route = {
         name: Target(
             urls=(entry.url + path,),
             models=ADAPTERS,
@@ -276,19 +276,19 @@
             ('path', 'against'), deployment.entries, strict=False
         )
     }
-    straight = {'direct': [e.url for e in deployment.engines]}
-    for name, urls in (straight | relays).items():
-        ways[name] = Target(
+    direct = {'direct': [e.url for e in deployment.engines]}
+    for name, urls in (direct | relays).items():
+        targets_by_route[name] = Target(
             urls=tuple(url + path for url in urls),
             models=tuple(g.engine_name for g in _grants()),
             headers={'X-Fencing': '0'},
         )
-    return ways
+    return targets_by_route
 
 
 @contextlib.asynccontextmanager
 async def relay_process(kind, deployment):
-    """Start a bare relay before every engine; give it and its URLs."""
+    """Start a bare relay in front of every engine; yield it and its URLs."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         '-c',
@@ -306,10 +306,10 @@
 
 
 async def run_bench(options):
-    """Measure all ways at each scale and print a table."""
+    """Measure all routes at each scale, and print a table."""
     table = rich.table.Table(
         'scale',
-        'way',
+        'route',
         'first token p50/p95 ms',
         'gap p50/p95 ms',
         'chunks/token',
@@ -335,45 +335,55 @@
             hops[kind], relays[kind] = await held.enter_async_context(
                 relay_process(kind, deployment)
             )
-        ways = targets(deployment, relays)
+        targets_by_route = make_targets(deployment, relays)
         for scale in options.scales:
             results = {}
-            for way in ways:
-                results[way] = await _measure_way(
-                    deployment, hops, ways, way, scale, options, folder
+            for route in targets_by_route:
+                results[route] = await _measure_route(
+                    deployment,
+                    hops,
+                    targets_by_route,
+                    route,
+                    scale,
+                    options,
+                    folder,
                 )
-                rows = _rows(scale, way, results[way], options)
+                rows = _rows(scale, route, results[route], options)
                 for row in rows:
                     table.add_row(*row)
             table.add_row(*_difference(scale, results))
     rich.console.Console(width=170).print(table)
 
 
-async def _measure_way(deployment, hops, ways, way, scale, options, folder):
-    watched = {'sidecar': deployment.sidecars[0]}
+async def _measure_route(
+    deployment, hops, targets_by_route, route, scale, options, folder
+):
+    processes_by_name = {'sidecar': deployment.sidecars[0]}
     if options.against:
-        watched['sidecar against'] = deployment.sidecars[1]
-    if way in hops:
-        watched['hop'] = hops[way]
+        processes_by_name['sidecar against'] = deployment.sidecars[1]
+    if route in hops:
+        processes_by_name['hop'] = hops[route]
     load = Load(
-        ways[way],
-        SHARE_REQUESTS_PER_S * scale,
+        targets_by_route[route],
+        ENTRY_REQUESTS_PER_S * scale,
         options.duration_s,
         options.tokens_per_answer,
     )
-    return await measure(load, watched, 1 if scale < 3 else 6, folder)
+    return await measure(
+        load, processes_by_name, 1 if scale < 3 else 6, folder
+    )
 
 
-def _rows(scale, way, result, options):
+def _rows(scale, route, result, options):
     first, gap = result.times.first_token_s, result.times.gap_s
-    request_count = int(SHARE_REQUESTS_PER_S * scale * options.duration_s)
+    request_count = int(ENTRY_REQUESTS_PER_S * scale * options.duration_s)
     token_count = request_count * options.tokens_per_answer
     idle = Cost(0.0, 0.0, 0.0, 0)
     hop = result.costs.get('hop', idle)
     sidecar = result.costs['sidecar']
     yield (
         f'{scale:g}',
-        way,
+        route,
         f'{result.percentile_ms(first, 50):.1f} / '
         f'{result.percentile_ms(first, 95):.1f}',
         f'{result.percentile_ms(gap, 50):.2f} / '
@@ -425,11 +435,11 @@
 def main(
     generate, output, duration_s, scales, against, relays, tokens_per_answer
 ):
-    """Measure the path at an entry's share and at ten times that.
+    """Measure the path at one entry's share of the load and at ten times it.
 
     With --against FOLDER, an entry and every second sidecar run the code
     of that folder, and are measured in turns with the others.  With
-    --relays, a hop that does nothing but relay is measured as well.
+    --relays, hops that only relay are measured as well.
     """
     if generate:
         load = msgspec.json.decode(generate, type=Load)
