--- a/benchmarks/path_hop.py
+++ b/benchmarks/path_hop.py
@@ -19,9 +19,9 @@
 from lacewingpitch import contract
 from lacewingpitch import customer_limits
 from lacewingpitch import engine
+from lacewingpitch import engine_runner
 from lacewingpitch import event_stream
 from lacewingpitch import response_format
-from lacewingpitch import runner
 from lacewingpitch import runs
 from lacewingpitch import sidecar_link
 from lacewingpitch import work
@@ -99,7 +99,7 @@
     found = engine.EngineAnswer(
         200, 'text/event-stream', '', content.iter_any()
     )
-    return runner._relay(delivery, event_stream.EventRelay(), found)
+    return engine_runner._relay(delivery, event_stream.EventRelay(), found)
 
 
 def bare_stream(content, writer):
