--- a/tests/cell_scene.py
+++ b/tests/cell_scene.py
@@ -166,14 +166,14 @@
         """Publish each side's list of instances."""
         found = self.deployment
         for side, platform in enumerate(self.platforms):
-            seen = [
+            listed = [
                 self._remote_instances[i.name]
                 if self._remote_instances
                 and (i.name[-1] == '1') != (side == 1)
                 else i
                 for i in found.instances
             ]
-            await found.put(platform, '/v1/instances', seen)
+            await found.put(platform, '/v1/instances', listed)
 
     async def publish_contracts(self, *platforms):
         for platform in platforms:
--- a/tests/fake_sidecars.py
+++ b/tests/fake_sidecars.py
@@ -60,7 +60,7 @@
             await self.held.wait()
         kind = self.kinds.pop(0) if self.kinds else self.kind
         if kind is not None:
-            error = errors.RefusalError(kind, 'told to')
+            error = errors.RefusalError(kind, 'set by the test')
             return response_format.refusal_response(error, order.request_id)
         name = voiding.attempt_id(order.request_id, order.attempt)
         return web.Response(text='done', headers={work.ATTEMPT_HEADER: name})
@@ -87,7 +87,7 @@
         if len(self.replies) > 1:
             self.replies.pop(0)
         if state is None:
-            raise errors.NoReplyError('told to')
+            raise errors.NoReplyError('set by the test')
         if kind is voiding.VoidReply:
             return kind(state=state)
         return kind(cancelled=False)
