--- a/benchmarks/path_hop.py
+++ b/benchmarks/path_hop.py
@@ -99,7 +99,9 @@
     found = engine.EngineAnswer(
         200, 'text/event-stream', '', content.iter_any()
     )
-    return engine_runner._relay(delivery, event_stream.EventRelay(), found)
+    return engine_runner._relay_events(
+        delivery, event_stream.EventRelay(), found
+    )
 
 
 def bare_stream(content, writer):
